--- a/winchlink.h
+++ b/winchlink.h
@@ -472,116 +472,112 @@
 // [SECTION] Target pool (which target to ask for its load, and which to take)
 //-----------------------------------------------------------------------------
 
-// What a target tells of its load.
+// The load that a target reports.
 struct LoadReport
 {
-    int Running = 0;       // Requests it works on.
-    int Waiting = 0;       // Requests in its queue.
-    int Slots = 1;         // Requests it can work on at once.
-    int PacePercent = 100; // Time that work takes there now; 100 is usual.
+    int Running = 0;       // Requests being processed.
+    int Waiting = 0;       // Requests in the target's queue.
+    int Slots = 1;         // Requests that it can process concurrently.
+    int PacePercent = 100; // Current processing time, in percent of the usual one.
 };
 
-// How long a target may take to tell its load before it is passed over: learnt for each service from what its targets take, as a slow
-// target takes several times as long as another, and a dead one for ever. The time grows with each answer that does not come within it and
-// shrinks a little with each that does, so that in the mean one in LateShare comes too late, whatever targets and network take.
-//
-// A constant is either too short for slow targets, whose connections then are taken for silent ones and given up, or too long for fast
-// ones.
+// Adaptive timeout of load probes, one for each service. It grows with each probe that times out and shrinks slightly with each that is
+// answered in time, so that on average a share LateShare of the probes times out.
 struct AskTime
 {
-    TimeUs LeastUs = 40 * UsPerMs; // Answers of targets in good order, on a network in good order, come within it.
-    TimeUs MostUs = 160 * UsPerMs; // Targets that never answer must not hold a request for longer.
-    double LateShare = 0.005;      // Answers that may come too late.
-    double Growth = 1.5;           // After a late one.
-    double NowUs = 0;              // What it is now; 0: LeastUs, as nothing is known.
+    TimeUs LeastUs = 40 * UsPerMs; // Lower bound, and the initial value.
+    TimeUs MostUs = 160 * UsPerMs; // Upper bound: the longest time that an unresponsive target delays a request.
+    double LateShare = 0.005;      // Share of the probes that may time out.
+    double Growth = 1.5;           // Factor after a probe that timed out.
+    double NowUs = 0;              // Current timeout; 0 before the first probe.
 };
 
 TimeUs AskTimeNow(const AskTime& time);
 void AskTimeAnswered(AskTime* time);
 void AskTimeLate(AskTime* time);
 
-// The load in "running,waiting,slots,pace"; the pace may be missing. None where the text is no such list.
+// Parses "running,waiting,slots,pace"; the pace is optional. Returns none if the text is malformed.
 std::optional<LoadReport> ParseLoadReport(const std::string& text);
 
 struct PoolTarget
 {
     std::string Id;
-    uint64_t Life = 0;   // Which start of it, as its entry says.
-    uint64_t LifeId = 0; // Stands for both, see TargetLifeId().
+    uint64_t Life = 0;   // Incarnation, from the directory.
+    uint64_t LifeId = 0; // Hash of Id and Life, see TargetLifeId().
     std::string Address;
-    bool Near = false;         // In our own data centre.
-    bool Doubtful = false;     // Its entry has vanished.
-    int Slots = 1;             // As its entry says.
-    int Weight = 1;            // As its entry says.
-    TimeUs WarmUntilUs = 0;    // It is cold, and slow, until then.
-    int ColdSent = 0;          // Our requests to it since it was last cold.
-    bool New = false;          // It came while the pool was in use and has had no request of ours.
-    int64_t Order = 0;         // Among equals the lowest is asked first: an instance keeps to the same few, and to their connections.
-    uint64_t Entry = 0;        // Counts entries into the pool: a target that left it and came back has another one.
-    int InFlight = 0;          // Our requests there, of this entry.
-    int Since = 0;             // Of those, sent since Report was made.
+    bool Near = false;         // In the instance's data centre.
+    bool Doubtful = false;     // Its directory entry is missing.
+    int Slots = 1;             // Requests that it can process concurrently, from the directory.
+    int Weight = 1;            // From the directory.
+    TimeUs WarmUntilUs = 0;    // End of its warm-up, during which it is cold and slower; 0 if none.
+    int ColdSent = 0;          // Requests that this instance sent to it since the start of the warm-up.
+    bool New = false;          // Added while the pool was in use, and this instance has not sent it a request yet.
+    int64_t Order = 0;         // Among equals, the lowest is probed first, so that an instance reuses connections to the same targets.
+    uint64_t Entry = 0;        // Generation of the pool entry; differs after the target was removed and added again.
+    int InFlight = 0;          // Requests of this instance in progress there, sent through this entry.
+    int Since = 0;             // Requests that this instance sent to it since Report.
     LoadReport Report;         // The last one.
-    TimeUs ReportUs = 0;       // When it came; 0: never.
-    int FailuresInRow = 0;     // Requests and questions without a good answer.
-    TimeUs AvoidUntilUs = 0;   // After failures: taken only where nothing else is left.
-    TimeUs CarefulUntilUs = 0; // After failures: it gets what may not be repeated only where nothing better is left.
-    TimeUs BackoffUntilUs = 0; // It asked for nothing from us until then, see PoolBackOff().
+    TimeUs ReportUs = 0;       // Time of the last report; 0 if none.
+    int FailuresInRow = 0;     // Consecutive failed requests and probes.
+    TimeUs AvoidUntilUs = 0;   // After failures: used only as a last resort until then.
+    TimeUs CarefulUntilUs = 0; // After failures: ranked lower until then for requests that can't be retried.
+    TimeUs BackoffUntilUs = 0; // End of the back-off that the target requested, see PoolBackOff().
 
-    // Kept by the pool.
-    int Group = 0;       // See PoolIndex.
-    bool Marked = false; // The same.
-    uint64_t Listed = 0; // The last PoolFollow() that named it.
+    // Managed by the pool.
+    int Group = 0;       // Index into PoolIndex::Groups.
+    bool Marked = false; // In PoolIndex::Marked.
+    uint64_t Listed = 0; // Value of TargetPool::Follows at the last PoolFollow() that listed it.
 };
 
-inline constexpr int PoolGroupCount = 4; // Near and far, of one slot and of several.
+inline constexpr int PoolGroupCount = 4; // In the own or another data centre, with and without a request making the target nearly full.
 
-// Finds targets without a look at all of them, so that a decision costs the same whatever the size of a service: with 6,600 targets the
-// next one to ask is found in 0.6 us (362 us by a look at all), and one by its id in 0.02 us (winchbench pool).
+// Index that makes the cost of choosing a target independent of the size of the service.
 //
-// Most targets are at rest: nothing is known of them, and nothing of ours is there. Of these the one that comes first in its group is the
-// best. All others are marked and looked at one by one: those asked of late, with requests of ours, new, cold, doubtful or failed. Whoever
-// gets a pointer to a target may change it, so it is marked then; marks are dropped when a target is found at rest.
+// Most targets are at rest: without a recent report, requests of this instance or any other special state. Among these, the first of each
+// group ranks best. All others are marked and compared one by one: targets that were probed recently, have requests of this instance, or
+// are new, cold, doubtful or failed. A function that returns a pointer to a target marks it, as the caller may change it; PoolNext()
+// unmarks targets that are at rest again.
 struct PoolIndex
 {
     std::unordered_map<std::string, std::list<PoolTarget>::iterator> ById;
-    std::array<std::set<std::pair<int64_t, PoolTarget*>>, PoolGroupCount> Groups; // By Order.
+    std::array<std::set<std::pair<int64_t, PoolTarget*>>, PoolGroupCount> Groups; // Sorted by Order.
     std::vector<PoolTarget*> Marked;
 };
 
 struct PoolConfig
 {
-    double NearlyFullShare = 0.8;       // Some targets are slower when fuller than this (users' site files, "knee").
-    double NearlyFullGain = 0.05;       // Least weight of a new answer in the estimate of by how much.
-    int NearlyFullPrior = 3;            // The first guess counts as so many answers.
-    double NearlyFullMost = 3.0;        // Longest factor that one answer may tell: more has other causes.
-    double WarmFactor = 2.0;            // Those that have just started are slower too.
-    double ColdPerS = 0;                // As the service says, see ServiceInfo.
-    TimeUs ColdUs = 0;                  // The same.
-    double ShareGain = 0.02;            // Weight of a new report in the estimate of our share of a service's work: some 50 reports.
-    double SharePrior = 10;             // Requests that others are taken to have in progress beyond those reported: a start takes little.
-    double GoodCost = 1.25;             // A target at this cost or less is taken without asking further.
-    double SettleCost = 2.0;            // At this cost or less it is taken when no good one was found: see PoolSettles().
-    TimeUs ReportUs = 150 * UsPerMs;    // Load shifts within this time: an older report says nothing (users' site files, "noise").
-    TimeUs AvoidUs = 200 * UsPerMs;     // First pause after a failure; doubles with each further one.
-    int AvoidDoublings = 4;             // At most so often.
-    TimeUs CarefulUs = 3 * UsPerSecond; // A failure speaks against requests that may not be repeated for so long.
+    double NearlyFullShare = 0.8;       // A target with more than this share of its slots in use is nearly full.
+    double NearlyFullGain = 0.05;       // Minimum weight of a new sample in the estimate of NearlyFullFactor.
+    int NearlyFullPrior = 3;            // Number of samples that the initial estimate counts as.
+    double NearlyFullMost = 3.0;        // Upper bound of one sample.
+    double WarmFactor = 2.0;            // Cost factor of cold targets.
+    double ColdPerS = 0;                // See ServiceInfo.
+    TimeUs ColdUs = 0;                  // See ServiceInfo.
+    double ShareGain = 0.02;            // Weight of a new report in the estimate of this instance's share of the work.
+    double SharePrior = 10;             // Requests added to the estimated total, so that the share is small while little is known.
+    double GoodCost = 1.25;             // A target with at most this cost is taken without further probes.
+    double SettleCost = 2.0;            // Maximum cost of a target taken when no good one was found, see PoolSettles().
+    TimeUs ReportUs = 150 * UsPerMs;    // Age at which a report is stale.
+    TimeUs AvoidUs = 200 * UsPerMs;     // Avoidance period after the first failure; doubles with each consecutive one.
+    int AvoidDoublings = 4;             // Maximum number of doublings.
+    TimeUs CarefulUs = 3 * UsPerSecond; // Time after a failure in which requests that can't be retried prefer other targets.
 };
 
 struct TargetPool
 {
     PoolConfig Config;
-    std::list<PoolTarget> Targets; // PoolFollow() alone changes who is there.
+    std::list<PoolTarget> Targets; // Only PoolFollow() adds and removes targets.
     PoolIndex Index;               // Over Targets.
     uint64_t Follows = 0;          // Calls of PoolFollow().
-    bool InUse = false;            // It has had a request: targets that come later are new.
-    bool TellsLoad = true;         // Targets of this service tell their load; false once one has answered without.
-    double NearlyFullFactor = 1.4; // How many times longer work takes at a nearly full target: learnt, from a guess between none and 1.8.
-    int NearlyFullSeen = 0;        // Answers that it was learnt from.
-    double ReportedWork = 0;       // Requests at one target, in the mean of those that told theirs of late.
-    double OwnWork = 0;            // Our requests in progress, in the mean of the same moments.
-    std::unordered_map<uint64_t, TimeUs> Backoffs; // By life: targets that want nothing until then, also while they are not in the pool.
-    int Evacuated = 0;                             // Targets of the service that are left out because their data centre is evacuated.
-    uint64_t LastEntry = 0;                        // See PoolTarget.
+    bool InUse = false;            // A request was sent; targets added from now on are new.
+    bool TellsLoad = true;         // Targets of this service report their load; false once one has answered without a report.
+    double NearlyFullFactor = 1.4; // Estimated slowdown of a nearly full target.
+    int NearlyFullSeen = 0;        // Samples in NearlyFullFactor.
+    double ReportedWork = 0;       // Moving average of the requests at one target, from load reports.
+    double OwnWork = 0;            // Moving average of this instance's requests in progress, sampled at the same times.
+    std::unordered_map<uint64_t, TimeUs> Backoffs; // End of the back-off by LifeId, also of targets that are not in the pool.
+    int Evacuated = 0;                             // Targets left out because their data centre is evacuated.
+    uint64_t LastEntry = 0;                        // Last value of PoolTarget::Entry.
 
     TargetPool() = default;
     TargetPool(TargetPool&&) = default;
@@ -590,72 +586,66 @@
     TargetPool& operator=(const TargetPool&) = delete;
 };
 
-// Brings the pool in line with the targets of its service; what is known of targets that stay is kept. Targets that leave, and those of
-// evacuated data centres, are not in it, so that nothing that looks for a target finds them. Of the new targets one is asked first for each
-// request until all have had one.
+// Synchronises the pool with the targets of its service; the state of targets that stay is kept. Draining targets and those of evacuated
+// data centres are not in the pool. For each request one new target is probed first, until every new target has had a request.
 void PoolFollow(TargetPool* pool, const TargetList& listed, const std::string& data_centre, Random* random);
 
-// A request goes to the target.
+// Records that a request was sent to the target.
 void PoolSent(TargetPool* pool, PoolTarget* target);
 
-// The target of that id, or null. A pointer is good until the pool is used again.
+// The target with that id, or null. The pointer is valid until the pool is used again.
 PoolTarget* PoolFind(TargetPool* pool, const std::string& id);
 
-// The same, as long as it is that entry: one that has come back since, or started again, is another one to whoever had to do with it.
+// The same, but null if the target was removed and added again or restarted since, so that its pool entry is another one.
 PoolTarget* PoolFindEntry(TargetPool* pool, const std::string& id, uint64_t entry);
 
-// The next target to ask, or to try where targets tell no load; null when all are in `passed`. `careful`, for what may not be repeated:
-// those that have failed of late come after those that have not.
+// The next target to probe, or to try where targets report no load; null if none is left that is not in `passed`. `careful`: the request
+// can't be retried, so targets that failed recently rank lower.
 PoolTarget* PoolNext(TargetPool* pool, const std::vector<std::string>& passed, bool careful, TimeUs now);
 
-// The same where targets are not asked: among equals by chance, as nothing would tell an instance that others keep to the same ones.
+// The same where targets are not probed: chooses among equals at random, as a fixed order could overload a target without being noticed.
 PoolTarget* PoolNextUnasked(TargetPool* pool, const std::vector<std::string>& passed, bool careful, TimeUs now, Random* random);
 
 // Whether one more request would make the target nearly full.
 bool PoolNearlyFull(const PoolConfig& config, const LoadReport& report, int more);
 
-// Whether the target's last report leaves room for one more request. Where nearly full targets are so much slower that they do less in
-// all, their last slots are not used (docs/MEASUREMENTS.md).
+// Whether the target has a free slot for one more request, by its last report. Where the slowdown of nearly full targets would reduce
+// their total throughput, their last slots are not used.
 bool PoolHasRoom(const TargetPool& pool, const PoolTarget& target);
 
-// Whether a target may get a request although it is cold; true for those that are not, and where nothing is said of what they bear.
+// Whether the warm-up limit allows a request to the target now; true for warm targets, and where the service sets no limit.
 //
-// Nobody counts the fleet, and a target that fails at once looks idle to everybody. So each instance takes its share of the rate that the
-// target bears, and its share is that of the work: its own requests in progress, against what targets report of all. The shares of a fleet
-// add up to one. Each instance's requests to a cold target fall at even distances after a random beginning, so that those of the fleet come
-// as by chance, at the rate in the mean. Besides, the target must have told just now that it has nothing to do. (ColdLoadTest: of 18 to
-// 473 instances that find a whole service cold and failing at once, a target gets 5 requests in any second at the most, where the users
-// allow 11.75; without the share 9 to 76.) What it costs: cold targets get about a quarter of what they bear.
+// The limit ColdPerS applies to all instances together, but their number is unknown. Each instance therefore uses a share of the limit: its
+// own requests in progress divided by the total that targets report. The shares of all instances add up to about one. An instance spaces
+// its requests to a cold target evenly after a random phase, so that instances don't send at the same time. The target must also have
+// reported that it is idle.
 bool PoolMayTakeCold(const TargetPool& pool, const PoolTarget& target, TimeUs now);
 
-// Learns from a report what our share of the service's work is; `own`: our requests in progress.
+// Updates the estimate of this instance's share of the service's work. `own`: requests of this instance in progress.
 void PoolLearnShare(TargetPool* pool, const LoadReport& report, int own);
 
-// The target says itself how long it is still cold.
+// Sets the end of the target's warm-up, as reported by the target or its directory entry. Never shortens it.
 void PoolToldCold(const PoolConfig& config, PoolTarget* target, TimeUs until);
 
-// Learns from an answer how much slower nearly full targets are: it took `factor` times what the same work takes elsewhere.
+// Adds a sample to NearlyFullFactor: a request at a nearly full target took `factor` times as long as the same work elsewhere.
 void PoolLearnNearlyFull(TargetPool* pool, double factor);
 
-// How many times longer than usual one more request is expected to take there.
+// Expected time of one more request at the target, as a multiple of the usual time.
 double PoolCost(const TargetPool& pool, const PoolTarget& target, TimeUs now);
 
-// Whether a target that has room is taken, once those asked are known and none of them is good, rather than wait for a better one. One that
-// is nearly full is, as long as it does no less in all with its last slot in use (twice the usual time, at two slots); a slow one is not.
-//
-// What it buys: with two slots the target of one request in progress is nearly full, and up to half of all are. At 1.6 requests were
-// refused beside them: 0.696 of the worth of four days with bursts, evacuations and losses against 0.737 at 2.0, in time 0.876 and 0.915
-// (two seeds each); with three and six slots no difference beyond the spread (TwoSlotLoadTest).
+// Whether a target with a free slot is acceptable when none of the probed targets is good. A nearly full target is, up to twice the usual
+// time; a slow one is not. With two slots, a target with one request in progress already counts as nearly full, so a lower bound would
+// refuse requests while slots are free.
 bool PoolSettles(const TargetPool& pool, const PoolTarget& target, TimeUs now);
 
-// That life of a target wants nothing from us until then: no request, no question. It holds whatever else the target answers, and for one
-// that leaves the pool and comes back; another start of it has asked for nothing. True if it could be used until now.
+// Starts or extends a back-off that an incarnation of a target requested: it gets neither requests nor probes until then. The back-off
+// outlasts later answers and removal from the pool, and does not apply to other incarnations. Returns true if the target was usable before.
 bool PoolBackOff(TargetPool* pool, const std::string& id, uint64_t life, TimeUs until, TimeUs now);
 
-// Whether the target may get anything now.
+// Whether no back-off forbids requests and probes to the target now.
 bool PoolMayUse(const PoolTarget& target, TimeUs now);
 
-// When the first target may get something again; none if one may now, or there is none.
+// The earliest end of a back-off if all targets are in back-off; none otherwise, or if the pool is empty.
 std::optional<TimeUs> PoolBackoffEnds(const TargetPool& pool, TimeUs now);
 
 void PoolReport(PoolTarget* target, const LoadReport& report, TimeUs now);
--- a/winchlink_pool.cpp
+++ b/winchlink_pool.cpp
@@ -1,4 +1,4 @@
-// winchlink_pool.cpp: the target pool: which target to ask for its load, and which to take.
+// winchlink_pool.cpp: the target pool: load reports, cost estimates, back-off and warm-up of the targets of one service.
 //
 // Index of this file:
 // [SECTION] Reports
@@ -25,11 +25,11 @@
     return std::max(time.LeastUs, static_cast<TimeUs>(time.NowUs));
 }
 
-// So much less after each answer in time that one late answer in so many is made up for.
+// Shrinks the timeout so that it is stable when a share LateShare of the answers is late.
 void AskTimeAnswered(AskTime* time)
 {
-    const double shrinking = std::pow(time->Growth, -time->LateShare / (1 - time->LateShare));
-    time->NowUs = std::max(time->NowUs * shrinking, static_cast<double>(time->LeastUs));
+    const double shrink_factor = std::pow(time->Growth, -time->LateShare / (1 - time->LateShare));
+    time->NowUs = std::max(time->NowUs * shrink_factor, static_cast<double>(time->LeastUs));
 }
 
 void AskTimeLate(AskTime* time)
@@ -42,8 +42,8 @@
 {
     LoadReport report;
     const int read = std::sscanf(text.c_str(), "%d,%d,%d,%d", &report.Running, &report.Waiting, &report.Slots, &report.PacePercent);
-    const bool sound = report.Running >= 0 && report.Waiting >= 0 && report.Slots > 0 && report.PacePercent > 0;
-    return read >= 3 && sound ? std::optional<LoadReport>(report) : std::nullopt;
+    const bool valid = report.Running >= 0 && report.Waiting >= 0 && report.Slots > 0 && report.PacePercent > 0;
+    return read >= 3 && valid ? std::optional<LoadReport>(report) : std::nullopt;
 }
 
 void PoolReport(PoolTarget* target, const LoadReport& report, TimeUs now)
@@ -99,8 +99,8 @@
 
 int64_t PoolDrawOrder(const PoolTarget& target, Random* random)
 {
-    constexpr double scale = 1e15; // Weights are at most 1000, so that orders of heavy targets still differ.
-    constexpr double most = 1e18;  // What is drawn fits the type.
+    constexpr double scale = 1e15; // Keeps orders distinct for weights up to 1000.
+    constexpr double most = 1e18;  // Fits int64_t.
     const double drawn = std::exponential_distribution<double>(std::max(target.Weight, 1))(*random);
     return static_cast<int64_t>(std::min(drawn * scale, most));
 }
@@ -114,22 +114,22 @@
     target->New = false;
 }
 
-static void TakeOutOfGroup(TargetPool* pool, PoolTarget* target)
+static void RemoveFromGroup(TargetPool* pool, PoolTarget* target)
 {
     pool->Index.Groups[static_cast<size_t>(target->Group)].erase({target->Order, target});
 }
 
-static void PutIntoGroup(TargetPool* pool, PoolTarget* target)
+static void AddToGroup(TargetPool* pool, PoolTarget* target)
 {
-    const bool filled_by_one = PoolNearlyFull(pool->Config, {0, 0, target->Slots, 100}, 0);
-    target->Group = (target->Near ? 0 : 1) + (filled_by_one ? 2 : 0);
+    const bool nearly_full_with_one = PoolNearlyFull(pool->Config, {0, 0, target->Slots, 100}, 0);
+    target->Group = (target->Near ? 0 : 1) + (nearly_full_with_one ? 2 : 0);
     pool->Index.Groups[static_cast<size_t>(target->Group)].insert({target->Order, target});
 }
 
-// Until when the target of that life wants nothing; 0: it has not asked.
-static TimeUs BackoffOf(const TargetPool& pool, uint64_t life_id)
+// End of the back-off that this incarnation of a target requested; 0 if none.
+static TimeUs BackoffOf(const TargetPool& pool, uint64_t incarnation_id)
 {
-    const auto found = pool.Backoffs.find(life_id);
+    const auto found = pool.Backoffs.find(incarnation_id);
     return found != pool.Backoffs.end() ? found->second : 0;
 }
 
@@ -147,15 +147,15 @@
     return target;
 }
 
-// Takes a target that is not marked out of the pool; returns the next one.
+// Removes a target from the pool and returns the next one. The target must not be in Index.Marked.
 static std::list<PoolTarget>::iterator RemoveTarget(TargetPool* pool, std::list<PoolTarget>::iterator target)
 {
-    TakeOutOfGroup(pool, &*target);
+    RemoveFromGroup(pool, &*target);
     pool->Index.ById.erase(target->Id);
     return pool->Targets.erase(target);
 }
 
-// Targets that the last PoolFollow() did not name.
+// Removes the targets that the last PoolFollow() did not list.
 static void RemoveUnlisted(TargetPool* pool)
 {
     const auto unlisted = [pool](const PoolTarget& target)
@@ -170,8 +170,8 @@
     }
 }
 
-// A target that has started again knows nothing of what we sent it, and what was believed of its former start says nothing of it.
-static void DropFormerLife(TargetPool* pool, const DirectoryTarget& listed)
+// Removes the previous incarnation of a restarted target: its load, failures and requests in flight don't apply to the new one.
+static void RemovePreviousIncarnation(TargetPool* pool, const DirectoryTarget& listed)
 {
     const auto found = pool->Index.ById.find(listed.Id);
     if (found != pool->Index.ById.end() && found->second->Life != listed.Life)
@@ -182,17 +182,17 @@
     }
 }
 
-static void FollowEntry(TargetPool* pool, const DirectoryTarget& listed, bool near, Random* random)
+static void SyncEntry(TargetPool* pool, const DirectoryTarget& listed, bool near, Random* random)
 {
-    DropFormerLife(pool, listed);
+    RemovePreviousIncarnation(pool, listed);
     const auto found = pool->Index.ById.find(listed.Id);
     const bool known = found != pool->Index.ById.end();
     PoolTarget* target = known ? &*found->second : AddTarget(pool, listed);
-    const bool weighs_the_same = known && target->Weight == listed.Weight;
-    const bool same_place = weighs_the_same && target->Near == near && target->Slots == listed.Slots;
-    if (known && !same_place)
+    const bool same_weight = known && target->Weight == listed.Weight;
+    const bool same_group = same_weight && target->Near == near && target->Slots == listed.Slots;
+    if (known && !same_group)
     {
-        TakeOutOfGroup(pool, target);
+        RemoveFromGroup(pool, target);
     }
     target->Listed = pool->Follows;
     target->Address = listed.Address;
@@ -200,14 +200,14 @@
     target->Doubtful = listed.Presence == Presence_Vanished;
     target->Slots = listed.Slots;
     target->Weight = listed.Weight;
-    if (!weighs_the_same)
+    if (!same_weight)
     {
         target->Order = PoolDrawOrder(*target, random);
     }
     PoolToldCold(pool->Config, target, listed.WarmUntilUs);
-    if (!same_place)
+    if (!same_group)
     {
-        PutIntoGroup(pool, target);
+        AddToGroup(pool, target);
     }
     if (target->Doubtful || target->New || target->WarmUntilUs > 0 || target->BackoffUntilUs > 0)
     {
@@ -222,11 +222,11 @@
     size_t followed = 0;
     for (const DirectoryTarget* listed : listed_targets)
     {
-        const bool leaves = listed->Presence == Presence_Leaving;
-        pool->Evacuated += !leaves && listed->Evacuated ? 1 : 0;
-        if (!leaves && !listed->Evacuated)
+        const bool draining = listed->Presence == Presence_Leaving;
+        pool->Evacuated += !draining && listed->Evacuated ? 1 : 0;
+        if (!draining && !listed->Evacuated)
         {
-            FollowEntry(pool, *listed, listed->DataCentre == data_centre, random);
+            SyncEntry(pool, *listed, listed->DataCentre == data_centre, random);
             followed++;
         }
     }
@@ -248,7 +248,7 @@
     return idle && trusted && !target.New && now >= target.WarmUntilUs && PoolMayUse(target, now);
 }
 
-// Whether one more request would make a target nearly full that works on `busy` already.
+// Whether one more request would make a target nearly full that already has `busy` requests.
 static bool MakesNearlyFull(const PoolConfig& config, int busy, int slots)
 {
     return busy + 1 > config.NearlyFullShare * slots;
@@ -281,15 +281,15 @@
 {
     const int slots = target.Report.Slots;
     const int below = std::max(1, static_cast<int>(pool.Config.NearlyFullShare * slots));
-    const bool more_is_less = slots / pool.NearlyFullFactor < below;
-    return target.Report.Running + target.Report.Waiting + target.Since < (more_is_less ? below : slots);
+    const bool last_slots_cost_throughput = slots / pool.NearlyFullFactor < below;
+    return target.Report.Running + target.Report.Waiting + target.Since < (last_slots_cost_throughput ? below : slots);
 }
 
 //-----------------------------------------------------------------------------
 // [SECTION] Back-off
 //-----------------------------------------------------------------------------
 
-static void ForgetBackoffs(TargetPool* pool, TimeUs now)
+static void RemoveExpiredBackoffs(TargetPool* pool, TimeUs now)
 {
     for (auto backoff = pool->Backoffs.begin(); backoff != pool->Backoffs.end();)
     {
@@ -299,7 +299,7 @@
 
 bool PoolBackOff(TargetPool* pool, const std::string& id, uint64_t life, TimeUs until, TimeUs now)
 {
-    ForgetBackoffs(pool, now);
+    RemoveExpiredBackoffs(pool, now);
     TimeUs& known = pool->Backoffs[TargetLifeId(id, life)];
     const bool usable = now >= known;
     known = std::max(known, until);
@@ -336,7 +336,7 @@
 
 void PoolToldCold(const PoolConfig& config, PoolTarget* target, TimeUs until)
 {
-    const bool again = until - config.ColdUs >= target->WarmUntilUs; // Not the same start of it, told once more.
+    const bool again = until - config.ColdUs >= target->WarmUntilUs; // A new cold period, not the current one reported again.
     target->ColdSent = again ? 0 : target->ColdSent;
     target->WarmUntilUs = std::max(target->WarmUntilUs, until);
 }
@@ -362,7 +362,7 @@
         return PoolCold_None;
     }
     constexpr int64_t phases = 1000000;
-    const double phase = static_cast<double>(target.Order % phases) / phases; // By chance, see PoolDrawOrder().
+    const double phase = static_cast<double>(target.Order % phases) / phases; // Random, see PoolDrawOrder().
     const auto since = static_cast<double>(now - (target.WarmUntilUs - config.ColdUs)) / UsPerSecond;
     const double allowed = phase + ShareOfWork(pool) * config.ColdPerS * std::max(since, 0.0);
     return target.ColdSent + 1 <= allowed ? PoolCold_OurTurn : PoolCold_NotOurs;
@@ -381,10 +381,10 @@
 
 void PoolLearnNearlyFull(TargetPool* pool, double factor)
 {
-    const double told = std::clamp(factor, 1.0, pool->Config.NearlyFullMost);
+    const double clamped = std::clamp(factor, 1.0, pool->Config.NearlyFullMost);
     pool->NearlyFullSeen++;
     const double gain = std::max(pool->Config.NearlyFullGain, 1.0 / (pool->NearlyFullSeen + pool->Config.NearlyFullPrior));
-    pool->NearlyFullFactor += gain * (told - pool->NearlyFullFactor);
+    pool->NearlyFullFactor += gain * (clamped - pool->NearlyFullFactor);
 }
 
 } // namespace Winchlink
