--- a/winchlink.h
+++ b/winchlink.h
@@ -687,129 +687,128 @@
 // [SECTION] Quarantine (requests that end the targets that run them)
 //-----------------------------------------------------------------------------
 
-// Some requests end every target that begins to run them, and their callers send them again. Each try has another request id and comes to
-// another instance, so that repeat budgets don't see it, and no instance alone meets enough of the ends. So each instance remembers which
-// targets have ended under which request, by what stays the same at every try (a key), and tells the others; what all have seen together
-// decides. Held requests are refused; without that one such request, sent again every 0.4 s, ends a service of twelve targets for good.
+// Some requests crash every target that runs them. When callers retry such a request, each try has another request id and may reach another
+// instance, so retry budgets don't stop it and no instance alone sees all the crashes. Each instance therefore records which targets
+// crashed while running a request, by a key that is the same at every try, and exchanges these records with the others. A request with
+// too many crashes is quarantined: it is refused.
 //
-// A request that merely was at a target when it ended must not be taken for the one that ended it. So an answer, wherever it comes from,
-// clears a request of all ends before; one that ends its targets is never answered. (QuarantineLoadTest: 40 callers that ask for the same
-// page every 0.4 s while a target is killed twice a second: none of 6,000 tries is refused wrongly, 104 without clearing.)
+// A request that was merely in progress at a target when it crashed must not be blamed. An answer from any target therefore clears all
+// earlier crashes of a request: one that crashes its targets is never answered.
 //
-// How to use it: QuarantineNote() for each request in progress at a target that has ended, QuarantineAnswered() when one was answered,
-// QuarantineUntil() before one is sent; hand on QuarantineTell() where digests differ, and take what comes with QuarantineTake(). In
-// whatever order news come, all that have heard the same hold the same requests.
+// How to use it: QuarantineNote() for each request in progress at a target that crashed, QuarantineAnswered() when one was answered,
+// QuarantineUntil() before one is sent. Send QuarantineTell() to instances with another digest and merge what they send with
+// QuarantineTake(). Instances with the same records quarantine the same requests, whatever the order of the updates.
 
 struct QuarantineConfig
 {
-    int EndsMost = 3;                              // A request is held once so many targets have ended under it: the users allow three.
-    TimeUs HoldUs = 600 * UsPerSecond;             // So long after the last end; doubled for each time that it ended a target again later.
-    TimeUs HoldMostUs = 24 * 3600LL * UsPerSecond; // The longest time that it is held: targets have been mended by then.
-    size_t RequestsMost = 512;                     // Requests that are remembered; those with the fewest ends go first. 100 KB.
-    size_t EndsKept = 64;                          // Targets that are remembered of each.
+    int EndsMost = 3; // Number of crashes at which a request is quarantined.
+    TimeUs HoldUs =
+        600 * UsPerSecond; // Quarantine time after the last crash; doubles each time that the request crashes a target after its release.
+    TimeUs HoldMostUs = 24 * 3600LL * UsPerSecond; // Upper bound of the quarantine time.
+    size_t RequestsMost = 512;                     // Requests kept; those with the fewest crashes are removed first.
+    size_t EndsKept = 64;                          // Crashes kept for each request.
 };
 
-// A target that ended while the request was there.
+// A crash of a target while the request was in progress there.
 struct TargetEnd
 {
-    TimeUs AtUs = 0;      // When.
-    bool Cleared = false; // The request has been answered since, or an operator has lifted it.
+    TimeUs AtUs = 0;      // Time of the crash.
+    bool Cleared = false; // The request was answered since, or an operator lifted its quarantine.
 };
 
 struct SuspectRequest
 {
-    std::map<std::string, TargetEnd> Ends; // By target and its life.
-    TimeUs HeldUntilUs = 0;                // It is refused until then; 0: it is not.
+    std::map<std::string, TargetEnd> Ends; // By TargetLife().
+    TimeUs HeldUntilUs = 0;                // End of the quarantine; 0 if not quarantined.
 };
 
-// What instances tell each other.
+// A crash as instances exchange it.
 struct TargetEndNews
 {
-    std::string Request; // Key.
-    std::string Target;  // And its life.
-    TimeUs AgeUs = 0;    // How long ago.
+    std::string Request; // Key of the request.
+    std::string Target;  // See TargetLife().
+    TimeUs AgeUs = 0;    // Time since the crash.
     bool Cleared = false;
 };
 
 struct Quarantine
 {
     QuarantineConfig Config;
-    std::map<std::string, SuspectRequest> Requests; // By key. Empty on nearly all days: then no request costs anything.
-    uint64_t Digest = 0;                            // Of all that is known but the times: alike where the same is known. 0: nothing is.
+    std::map<std::string, SuspectRequest> Requests; // By key.
+    uint64_t Digest = 0;                            // Hash of all records except their times; 0 if there are none.
 };
 
-// A target's name in here: its id and which start of it.
+// Identifies one incarnation of a target: its id and, if not 0, "@" and the incarnation.
 std::string TargetLife(const std::string& id, uint64_t life);
 
-// A number that stands for it.
+// A hash of TargetLife().
 uint64_t TargetLifeId(const std::string& id, uint64_t life);
 
-// A target has ended while the request was in progress there. True if that was not known.
+// Records that a target crashed while the request was in progress there. Returns true if the crash was new.
 bool QuarantineNote(Quarantine* quarantine, const std::string& request, const std::string& target, TimeUs now);
 
-// The request was answered, or an operator lifts it: its ends so far count no more. True if there were any.
+// Clears all crashes of a request that was answered, or whose quarantine an operator lifts. Returns true if there were any.
 bool QuarantineAnswered(Quarantine* quarantine, const std::string& request);
 
-// Until when the request is refused; 0: it is not.
+// End of the request's quarantine; 0 if it is not quarantined.
 TimeUs QuarantineUntil(const Quarantine& quarantine, const std::string& request, TimeUs now);
 
-// Ends that count against the request.
+// Number of crashes that are not cleared.
 int QuarantineEnds(const Quarantine& quarantine, const std::string& request);
 
-// All that is known, and what another instance has told. True if any of it was new. News that make no sense are passed over.
+// Exports all records, and merges those of another instance. QuarantineTake() ignores implausible updates and returns true if the state
+// changed.
 std::vector<TargetEndNews> QuarantineTell(const Quarantine& quarantine, TimeUs now);
-bool QuarantineTake(Quarantine* quarantine, const std::vector<TargetEndNews>& news, TimeUs now);
+bool QuarantineTake(Quarantine* quarantine, const std::vector<TargetEndNews>& updates, TimeUs now);
 
-// Forgets what is too old to count. Call it every second or so.
+// Removes expired records. Call it about once a second.
 void QuarantineForget(Quarantine* quarantine, TimeUs now);
 
 //-----------------------------------------------------------------------------
 // [SECTION] Silent ends (targets that end without closing their connections)
 //-----------------------------------------------------------------------------
 
-// A target whose machine falls silent closes no connection: what it was working on is never answered, as behind a cut or at a target that
-// hangs. Only later does the store tell the difference: another start has its id or its address, or its entry goes though nobody said that
-// it leaves. So attempts that ended unanswered are remembered for a while, and so are such targets: an attempt may still wait when its
-// target's end is known. Without it a request that silences its targets is never held, however many (SilentEndsTest: none of its ends
-// counts).
+// A target whose machine fails closes no connection: its requests time out, as after a network partition or at a target that hangs. Only
+// later does the store show the crash: a new incarnation has its id or its address, or its entry is missing though it was not draining.
+// Unanswered attempts and crashed targets are therefore kept for a while and matched, so that such crashes count for the quarantine. An
+// attempt may still be in progress when the crash of its target is detected.
 //
-// How to use it: SilentAttemptEnded() for each attempt that ended unanswered, SilentTargetEnded() for each of DirectoryTakeEnded(),
-// SilentAnswered() when a request was answered. What they return are ends for the quarantine.
+// How to use it: SilentAttemptEnded() for each attempt that ended unanswered, SilentTargetEnded() for each target from
+// DirectoryTakeEnded(), SilentAnswered() when a request was answered. Pass the crashes they report to QuarantineNote().
 
 struct SilentAttempt
 {
-    std::string Request; // Key.
-    std::string Target;  // And its life.
-    TimeUs SentUs = 0;   // When it began.
+    std::string Request; // Key of the request.
+    std::string Target;  // See TargetLife().
+    TimeUs SentUs = 0;   // Start of the attempt.
 };
 
 struct SilentTarget
 {
-    std::string Target;  // And its life.
-    TimeUs LearntUs = 0; // When it was known to have ended.
+    std::string Target;  // See TargetLife().
+    TimeUs LearntUs = 0; // Time at which its crash was detected.
 };
 
 struct SilentEnds
 {
-    TimeUs WithinUs =
-        8 * UsPerSecond;              // A target that ends under an attempt is known to have ended so soon after the attempt's start: an
-                                      // entry goes after three heartbeats of up to 1.5 s; the rest is for the work, the store and a margin.
-    TimeUs KeptUs = 60 * UsPerSecond; // Such a target is remembered for so long: attempts wait no longer for an answer.
-    size_t Most = 512;                // Attempts, and targets, that are remembered; the oldest go first. 100 KB.
+    TimeUs WithinUs = 8 * UsPerSecond;  // Longest time from an attempt's start to the detection of a crash during it.
+    TimeUs KeptUs = 60 * UsPerSecond;   // Time for which a crashed target is kept; longer than attempts wait for an answer.
+    size_t Most = 512;                  // Maximum number of attempts, and of targets; the oldest are removed first.
     std::deque<SilentAttempt> Attempts; // In the order in which they ended.
-    std::deque<SilentTarget> Targets;   // In the order in which they were learnt.
+    std::deque<SilentTarget> Targets;   // In the order of detection.
 };
 
-// An attempt ended without an answer. True if its target is known to have ended under it; else that may still turn out.
+// Records that an attempt ended without an answer. Returns true if its target is known to have crashed during it; otherwise
+// SilentTargetEnded() may still report it.
 bool SilentAttemptEnded(SilentEnds* silent, const SilentAttempt& attempt, TimeUs now);
 
-// A target ended without a word. Returns the attempts under which it did.
+// Records that a target crashed. Returns the recorded attempts that were in progress at that time.
 std::vector<SilentAttempt> SilentTargetEnded(SilentEnds* silent, const std::string& target, TimeUs now);
 
-// The request was answered: its former attempts say nothing any more.
+// The request was answered: removes its attempts.
 void SilentAnswered(SilentEnds* silent, const std::string& request);
 
-// Forgets what is too old to count. Call it every second or so.
+// Removes expired records. Call it about once a second.
 void SilentForget(SilentEnds* silent, TimeUs now);
 
 //-----------------------------------------------------------------------------
--- a/winchlink_pick.cpp
+++ b/winchlink_pick.cpp
@@ -1,6 +1,6 @@
-// winchlink_pick.cpp: the policy: which target is asked or tried next.
+// winchlink_pick.cpp: the selection policy: which target is probed or tried next.
 //
-// It stands in a file of its own so that the bench can link another in its place (bench/baselines.cpp) and play the same trace to both.
+// A separate file, so that the benchmark can link another policy in its place (bench/baselines.cpp) and compare both on the same trace.
 
 #include "winchlink_internal.h"
 
@@ -9,9 +9,8 @@
 namespace Winchlink
 {
 
-// Whether a new target is among those passed. Then the other new ones come in their ordinary order: all instances know the same new ones,
-// and a request that asked only these found them full, with most of the others idle (7 % were refused at a quarter of the load,
-// PoolLoadTest).
+// Whether a new target is among those passed. Then the other new ones get no preference: all instances prefer the same new targets, so a
+// request that probed only these could find them full while others are idle.
 static bool PassedNew(const TargetPool& pool, const std::vector<std::string>& passed)
 {
     const auto is_new = [&](const std::string& id)
@@ -27,8 +26,8 @@
     return std::find(passed.begin(), passed.end(), target.Id) != passed.end();
 }
 
-// Whom to trust first: those of which nothing bad is known; doubtful ones; those that have failed; cold ones, whose turn at this instance
-// it is, and last the others of them.
+// 0: healthy; 1: directory entry missing, or failed recently if `careful`; 2: avoided after failures; 3: cold, within this instance's
+// warm-up share; 4: cold, beyond it.
 static int TrustRank(const TargetPool& pool, const PoolTarget& target, bool careful, TimeUs now)
 {
     constexpr int cold = 3;
@@ -45,30 +44,30 @@
 {
     const double cost = PoolCost(pool, target, now);
     const int far = target.Near ? 0 : 1;
-    const int late = target.New && !had_new ? 0 : 1;
-    return {TrustRank(pool, target, careful, now), cost > pool.Config.GoodCost ? 2 + far : far, cost, late, target.Order};
+    const int not_preferred = target.New && !had_new ? 0 : 1;
+    return {TrustRank(pool, target, careful, now), cost > pool.Config.GoodCost ? 2 + far : far, cost, not_preferred, target.Order};
 }
 
-// Forgets which targets had been marked and are at rest.
+// Unmarks targets that are at rest again.
 static void DropMarks(TargetPool* pool, TimeUs now)
 {
-    const auto at_rest = [&](PoolTarget* target)
+    const auto unmark_at_rest = [&](PoolTarget* target)
     {
         target->Marked = !PoolAtRest(*pool, *target, now);
         return !target->Marked;
     };
     std::vector<PoolTarget*>& marked = pool->Index.Marked;
-    marked.erase(std::remove_if(marked.begin(), marked.end(), at_rest), marked.end());
+    marked.erase(std::remove_if(marked.begin(), marked.end(), unmark_at_rest), marked.end());
 }
 
-// The first of a group that is at rest and has not been passed, or null.
+// The first target of a group that is at rest and not in `passed`, or null.
 static PoolTarget* FirstAtRest(const std::set<std::pair<int64_t, PoolTarget*>>& group, const std::vector<std::string>& passed)
 {
-    const auto wanted = [&](const std::pair<int64_t, PoolTarget*>& entry)
+    const auto is_candidate = [&](const std::pair<int64_t, PoolTarget*>& entry)
     {
         return !entry.second->Marked && !HasPassed(passed, *entry.second);
     };
-    const auto found = std::find_if(group.begin(), group.end(), wanted);
+    const auto found = std::find_if(group.begin(), group.end(), is_candidate);
     return found != group.end() ? found->second : nullptr;
 }
 
@@ -103,10 +102,10 @@
             consider(first);
         }
     }
-    return best != nullptr ? PoolFind(pool, best->Id) : nullptr; // Marks it: the caller may change it.
+    return best != nullptr ? PoolFind(pool, best->Id) : nullptr; // Marks the target, as the caller may change it.
 }
 
-// All are looked at, as each needs a draw of its own; a row of the table has 512 targets at the most.
+// Compares all targets, as each needs a random order of its own; a table row has at most RowTargetsMax of them.
 PoolTarget* PoolNextUnasked(TargetPool* pool, const std::vector<std::string>& passed, bool careful, TimeUs now, Random* random)
 {
     const bool had_new = PassedNew(*pool, passed);
--- a/winchlink_quarantine.cpp
+++ b/winchlink_quarantine.cpp
@@ -1,13 +1,13 @@
-// winchlink_quarantine.cpp: requests that end the targets that run them.
+// winchlink_quarantine.cpp: requests that crash the targets that run them.
 //
-// What is known is a set of ends, each with the request and the target. Two sets are merged by taking all of both; an end that is cleared
-// in one is cleared in both. So the order in which instances hear of each other's ends does not matter.
+// The state is a set of crashes, each with its request and target. Two sets are merged by their union; a crash that is cleared in one is
+// cleared in the result. The merge is commutative, so the order in which updates arrive does not matter.
 //
 // Index of this file:
-// [SECTION] Judging
-// [SECTION] Bounds
-// [SECTION] What happened
-// [SECTION] Between instances
+// [SECTION] Decision
+// [SECTION] Limits
+// [SECTION] Events
+// [SECTION] Exchange between instances
 
 #include "winchlink_internal.h"
 
@@ -18,10 +18,10 @@
 {
 
 //-----------------------------------------------------------------------------
-// [SECTION] Judging
+// [SECTION] Decision
 //-----------------------------------------------------------------------------
 
-static constexpr size_t NameMost = 200; // Bytes of a key or a target's name that another instance tells: ids of the store are no longer.
+static constexpr size_t NameBytesMax = 200; // Maximum bytes of a key or a target in an update.
 
 uint64_t TargetLifeId(const std::string& id, uint64_t life)
 {
@@ -33,7 +33,7 @@
     return life == 0 ? id : id + "@" + std::to_string(life);
 }
 
-static int CountEnds(const SuspectRequest& request)
+static int CountCrashes(const SuspectRequest& request)
 {
     const auto counts = [](const auto& entry)
     {
@@ -42,38 +42,38 @@
     return static_cast<int>(std::count_if(request.Ends.begin(), request.Ends.end(), counts));
 }
 
-// When the ends that count were, in order.
-static std::vector<TimeUs> TimesOf(const SuspectRequest& request)
+// Sorted times of the crashes that are not cleared.
+static std::vector<TimeUs> CrashTimes(const SuspectRequest& request)
 {
     std::vector<TimeUs> times;
-    for (const auto& [target, end] : request.Ends)
+    for (const auto& [target, crash] : request.Ends)
     {
-        if (!end.Cleared)
+        if (!crash.Cleared)
         {
-            times.push_back(end.AtUs);
+            times.push_back(crash.AtUs);
         }
     }
     std::sort(times.begin(), times.end());
     return times;
 }
 
-// A request that was let go and ended a target again is held for twice as long as the last time. `times` in order.
-static TimeUs HoldTime(const QuarantineConfig& config, const std::vector<TimeUs>& times)
+// The quarantine time doubles each time that a request crashes a target after its release. `times` is sorted.
+static TimeUs QuarantineTime(const QuarantineConfig& config, const std::vector<TimeUs>& times)
 {
-    TimeUs hold = config.HoldUs;
+    TimeUs duration = config.HoldUs;
     for (size_t n = 1; n < times.size(); n++)
     {
-        const bool was_let_go = times[n] - times[n - 1] >= hold;
-        hold = was_let_go ? std::min(2 * hold, config.HoldMostUs) : hold;
+        const bool was_released = times[n] - times[n - 1] >= duration;
+        duration = was_released ? std::min(2 * duration, config.HoldMostUs) : duration;
     }
-    return hold;
+    return duration;
 }
 
-static void Judge(const QuarantineConfig& config, SuspectRequest* request)
+static void UpdateQuarantine(const QuarantineConfig& config, SuspectRequest* request)
 {
-    const std::vector<TimeUs> times = TimesOf(*request);
-    const bool held = static_cast<int>(times.size()) >= config.EndsMost;
-    request->HeldUntilUs = held ? times.back() + HoldTime(config, times) : 0;
+    const std::vector<TimeUs> times = CrashTimes(*request);
+    const bool quarantined = static_cast<int>(times.size()) >= config.EndsMost;
+    request->HeldUntilUs = quarantined ? times.back() + QuarantineTime(config, times) : 0;
 }
 
 static void AddText(crypto_generichash_state* state, const std::string& text)
@@ -94,11 +94,11 @@
     crypto_generichash_init(&state, nullptr, 0, hash.size());
     for (const auto& [key, request] : quarantine.Requests)
     {
-        for (const auto& [target, end] : request.Ends)
+        for (const auto& [target, crash] : request.Ends)
         {
             AddText(&state, key);
             AddText(&state, target);
-            AddText(&state, end.Cleared ? "cleared" : "");
+            AddText(&state, crash.Cleared ? "cleared" : "");
         }
     }
     crypto_generichash_final(&state, hash.data(), hash.size());
@@ -108,10 +108,10 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Bounds
+// [SECTION] Limits
 //-----------------------------------------------------------------------------
 
-static TimeUs LastEnd(const SuspectRequest& request)
+static TimeUs LastCrashUs(const SuspectRequest& request)
 {
     TimeUs last = 0;
     for (const auto& entry : request.Ends)
@@ -121,19 +121,19 @@
     return last;
 }
 
-// How long after its last end a request is remembered: one that has been held, until it could be let go once more.
-static TimeUs KeptFor(const QuarantineConfig& config, const SuspectRequest& request)
+// Time after the last crash for which a request is kept. A quarantined one is kept beyond its release, so that the time can double.
+static TimeUs RetentionOf(const QuarantineConfig& config, const SuspectRequest& request)
 {
-    return CountEnds(request) < config.EndsMost ? config.HoldUs : 2 * HoldTime(config, TimesOf(request));
+    return CountCrashes(request) < config.EndsMost ? config.HoldUs : 2 * QuarantineTime(config, CrashTimes(request));
 }
 
-static bool IsTooOld(const QuarantineConfig& config, const SuspectRequest& request, TimeUs now)
+static bool IsExpired(const QuarantineConfig& config, const SuspectRequest& request, TimeUs now)
 {
-    return now >= LastEnd(request) + KeptFor(config, request);
+    return now >= LastCrashUs(request) + RetentionOf(config, request);
 }
 
-// The oldest ends go first.
-static void BoundEnds(const QuarantineConfig& config, SuspectRequest* request)
+// Removes the oldest crashes beyond the limit.
+static void LimitCrashes(const QuarantineConfig& config, SuspectRequest* request)
 {
     const auto earlier = [](const auto& a, const auto& b)
     {
@@ -145,51 +145,51 @@
     }
 }
 
-// Of those with the fewest ends the oldest goes first: only targets that really end fill the list, and a request that has ended many stays.
-static void BoundRequests(Quarantine* quarantine)
+// Removes requests beyond the limit: those with the fewest crashes first, and among these the ones whose last crash is the oldest.
+static void LimitRequests(Quarantine* quarantine)
 {
-    const auto weaker = [](const auto& a, const auto& b)
+    const auto removed_before = [](const auto& a, const auto& b)
     {
-        const int ends_a = CountEnds(a.second);
-        const int ends_b = CountEnds(b.second);
-        return ends_a != ends_b ? ends_a < ends_b : LastEnd(a.second) < LastEnd(b.second);
+        const int crashes_a = CountCrashes(a.second);
+        const int crashes_b = CountCrashes(b.second);
+        return crashes_a != crashes_b ? crashes_a < crashes_b : LastCrashUs(a.second) < LastCrashUs(b.second);
     };
     while (quarantine->Requests.size() > quarantine->Config.RequestsMost)
     {
-        quarantine->Requests.erase(std::min_element(quarantine->Requests.begin(), quarantine->Requests.end(), weaker));
+        quarantine->Requests.erase(std::min_element(quarantine->Requests.begin(), quarantine->Requests.end(), removed_before));
     }
 }
 
-static void BringUpToDate(Quarantine* quarantine)
+static void UpdateDerived(Quarantine* quarantine)
 {
-    BoundRequests(quarantine);
+    LimitRequests(quarantine);
     for (auto& [key, request] : quarantine->Requests)
     {
-        Judge(quarantine->Config, &request);
+        UpdateQuarantine(quarantine->Config, &request);
     }
     quarantine->Digest = MakeDigest(*quarantine);
 }
 
-static bool DropTooOld(Quarantine* quarantine, TimeUs now)
+static bool RemoveExpired(Quarantine* quarantine, TimeUs now)
 {
     const size_t before = quarantine->Requests.size();
     for (auto entry = quarantine->Requests.begin(); entry != quarantine->Requests.end();)
     {
-        entry = IsTooOld(quarantine->Config, entry->second, now) ? quarantine->Requests.erase(entry) : std::next(entry);
+        entry = IsExpired(quarantine->Config, entry->second, now) ? quarantine->Requests.erase(entry) : std::next(entry);
     }
     return quarantine->Requests.size() != before;
 }
 
 void QuarantineForget(Quarantine* quarantine, TimeUs now)
 {
-    if (DropTooOld(quarantine, now))
+    if (RemoveExpired(quarantine, now))
     {
-        BringUpToDate(quarantine);
+        UpdateDerived(quarantine);
     }
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] What happened
+// [SECTION] Events
 //-----------------------------------------------------------------------------
 
 bool QuarantineNote(Quarantine* quarantine, const std::string& request, const std::string& target, TimeUs now)
@@ -198,8 +198,8 @@
     const bool is_new = suspect.Ends.emplace(target, TargetEnd{now, false}).second;
     if (is_new)
     {
-        BoundEnds(quarantine->Config, &suspect);
-        BringUpToDate(quarantine);
+        LimitCrashes(quarantine->Config, &suspect);
+        UpdateDerived(quarantine);
     }
     return is_new;
 }
@@ -207,7 +207,7 @@
 bool QuarantineAnswered(Quarantine* quarantine, const std::string& request)
 {
     const auto found = quarantine->Requests.find(request);
-    if (found == quarantine->Requests.end() || CountEnds(found->second) == 0)
+    if (found == quarantine->Requests.end() || CountCrashes(found->second) == 0)
     {
         return false;
     }
@@ -215,7 +215,7 @@
     {
         entry.second.Cleared = true;
     }
-    BringUpToDate(quarantine);
+    UpdateDerived(quarantine);
     return true;
 }
 
@@ -228,56 +228,57 @@
 int QuarantineEnds(const Quarantine& quarantine, const std::string& request)
 {
     const auto found = quarantine.Requests.find(request);
-    return found != quarantine.Requests.end() ? CountEnds(found->second) : 0;
+    return found != quarantine.Requests.end() ? CountCrashes(found->second) : 0;
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Between instances
+// [SECTION] Exchange between instances
 //-----------------------------------------------------------------------------
 
 std::vector<TargetEndNews> QuarantineTell(const Quarantine& quarantine, TimeUs now)
 {
-    std::vector<TargetEndNews> news;
+    std::vector<TargetEndNews> updates;
     for (const auto& [key, request] : quarantine.Requests)
     {
-        for (const auto& [target, end] : request.Ends)
+        for (const auto& [target, crash] : request.Ends)
         {
-            news.push_back({key, target, now - end.AtUs, end.Cleared});
+            updates.push_back({key, target, now - crash.AtUs, crash.Cleared});
         }
     }
-    return news;
+    return updates;
 }
 
-static bool MakesSense(const QuarantineConfig& config, const TargetEndNews& news)
+static bool IsPlausible(const QuarantineConfig& config, const TargetEndNews& update)
 {
-    const bool names = !news.Request.empty() && news.Request.size() <= NameMost && !news.Target.empty() && news.Target.size() <= NameMost;
-    return names && news.AgeUs >= 0 && news.AgeUs < 2 * config.HoldMostUs;
+    const bool names =
+        !update.Request.empty() && update.Request.size() <= NameBytesMax && !update.Target.empty() && update.Target.size() <= NameBytesMax;
+    return names && update.AgeUs >= 0 && update.AgeUs < 2 * config.HoldMostUs;
 }
 
-// Takes one end. Of two times the earlier one stays, so that handing an end round never makes it younger.
-static bool TakeEnd(Quarantine* quarantine, const TargetEndNews& news, TimeUs now)
+// Merges one crash; true if it was new or newly cleared. Keeps the earlier of two times, so that forwarding never makes a crash younger.
+static bool MergeCrash(Quarantine* quarantine, const TargetEndNews& update, TimeUs now)
 {
-    SuspectRequest& request = quarantine->Requests[news.Request];
-    const auto [entry, is_new] = request.Ends.emplace(news.Target, TargetEnd{now - news.AgeUs, news.Cleared});
-    TargetEnd& end = entry->second;
-    const bool cleared_since = !is_new && news.Cleared && !end.Cleared;
-    end.AtUs = std::min(end.AtUs, now - news.AgeUs);
-    end.Cleared = end.Cleared || news.Cleared;
+    SuspectRequest& request = quarantine->Requests[update.Request];
+    const auto [entry, is_new] = request.Ends.emplace(update.Target, TargetEnd{now - update.AgeUs, update.Cleared});
+    TargetEnd& crash = entry->second;
+    const bool cleared_since = !is_new && update.Cleared && !crash.Cleared;
+    crash.AtUs = std::min(crash.AtUs, now - update.AgeUs);
+    crash.Cleared = crash.Cleared || update.Cleared;
     return is_new || cleared_since;
 }
 
-bool QuarantineTake(Quarantine* quarantine, const std::vector<TargetEndNews>& news, TimeUs now)
+bool QuarantineTake(Quarantine* quarantine, const std::vector<TargetEndNews>& updates, TimeUs now)
 {
     const uint64_t before = quarantine->Digest;
-    for (const TargetEndNews& end : news)
+    for (const TargetEndNews& update : updates)
     {
-        if (MakesSense(quarantine->Config, end) && TakeEnd(quarantine, end, now))
+        if (IsPlausible(quarantine->Config, update) && MergeCrash(quarantine, update, now))
         {
-            BoundEnds(quarantine->Config, &quarantine->Requests[end.Request]);
+            LimitCrashes(quarantine->Config, &quarantine->Requests[update.Request]);
         }
     }
-    DropTooOld(quarantine, now);
-    BringUpToDate(quarantine);
+    RemoveExpired(quarantine, now);
+    UpdateDerived(quarantine);
     return quarantine->Digest != before;
 }
 
--- a/winchlink_silent.cpp
+++ b/winchlink_silent.cpp
@@ -1,11 +1,11 @@
-// winchlink_silent.cpp: targets that end under a request without closing their connections.
+// winchlink_silent.cpp: targets that crash without closing their connections.
 //
-// An attempt that got no answer and a target that ended without a word belong together if the end was learnt soon after the attempt's
-// start. Either may be known first, so both are kept for that time.
+// An unanswered attempt is attributed to a crash of its target if the crash was detected soon after the attempt's start. Either event may
+// arrive first, so both are kept for a while.
 //
 // Index of this file:
-// [SECTION] Bounds
-// [SECTION] What happened
+// [SECTION] Limits
+// [SECTION] Events
 
 #include "winchlink.h"
 
@@ -16,13 +16,13 @@
 {
 
 //-----------------------------------------------------------------------------
-// [SECTION] Bounds
+// [SECTION] Limits
 //-----------------------------------------------------------------------------
 
-// Whether a target whose end was learnt then can have ended under the attempt.
-static bool IsUnder(const SilentEnds& silent, const SilentAttempt& attempt, TimeUs learnt)
+// Whether a crash detected at time `detected_us` can have happened during the attempt.
+static bool CanExplain(const SilentEnds& silent, const SilentAttempt& attempt, TimeUs detected_us)
 {
-    return learnt >= attempt.SentUs && learnt < attempt.SentUs + silent.WithinUs;
+    return detected_us >= attempt.SentUs && detected_us < attempt.SentUs + silent.WithinUs;
 }
 
 template <class Entries, class Condition> static void RemoveIf(Entries* entries, const Condition& condition)
@@ -30,7 +30,7 @@
     entries->erase(std::remove_if(entries->begin(), entries->end(), condition), entries->end());
 }
 
-template <class Entries> static void Bound(Entries* entries, size_t most)
+template <class Entries> static void LimitSize(Entries* entries, size_t most)
 {
     while (entries->size() > most)
     {
@@ -39,39 +39,39 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] What happened
+// [SECTION] Events
 //-----------------------------------------------------------------------------
 
 bool SilentAttemptEnded(SilentEnds* silent, const SilentAttempt& attempt, TimeUs now)
 {
-    const auto ended_under_it = [&](const SilentTarget& target)
+    const auto crashed_during_attempt = [&](const SilentTarget& target)
     {
-        return target.Target == attempt.Target && IsUnder(*silent, attempt, target.LearntUs);
+        return target.Target == attempt.Target && CanExplain(*silent, attempt, target.LearntUs);
     };
-    if (std::any_of(silent->Targets.begin(), silent->Targets.end(), ended_under_it))
+    if (std::any_of(silent->Targets.begin(), silent->Targets.end(), crashed_during_attempt))
     {
         return true;
     }
-    if (IsUnder(*silent, attempt, now))
+    if (CanExplain(*silent, attempt, now))
     {
         silent->Attempts.push_back(attempt);
-        Bound(&silent->Attempts, silent->Most);
+        LimitSize(&silent->Attempts, silent->Most);
     }
     return false;
 }
 
 std::vector<SilentAttempt> SilentTargetEnded(SilentEnds* silent, const std::string& target, TimeUs now)
 {
-    const auto ended_under_it = [&](const SilentAttempt& attempt)
+    const auto crashed_during_attempt = [&](const SilentAttempt& attempt)
     {
-        return attempt.Target == target && IsUnder(*silent, attempt, now);
+        return attempt.Target == target && CanExplain(*silent, attempt, now);
     };
-    std::vector<SilentAttempt> under;
-    std::copy_if(silent->Attempts.begin(), silent->Attempts.end(), std::back_inserter(under), ended_under_it);
-    RemoveIf(&silent->Attempts, ended_under_it);
+    std::vector<SilentAttempt> affected;
+    std::copy_if(silent->Attempts.begin(), silent->Attempts.end(), std::back_inserter(affected), crashed_during_attempt);
+    RemoveIf(&silent->Attempts, crashed_during_attempt);
     silent->Targets.push_back({target, now});
-    Bound(&silent->Targets, silent->Most);
-    return under;
+    LimitSize(&silent->Targets, silent->Most);
+    return affected;
 }
 
 void SilentAnswered(SilentEnds* silent, const std::string& request)
@@ -81,7 +81,7 @@
 
 void SilentForget(SilentEnds* silent, TimeUs now)
 {
-    RemoveIf(&silent->Attempts, [&](const SilentAttempt& attempt) { return !IsUnder(*silent, attempt, now); });
+    RemoveIf(&silent->Attempts, [&](const SilentAttempt& attempt) { return !CanExplain(*silent, attempt, now); });
     RemoveIf(&silent->Targets, [&](const SilentTarget& target) { return now >= target.LearntUs + silent->KeptUs; });
 }
 
