--- a/gateway/target_signals.cpp
+++ b/gateway/target_signals.cpp
@@ -1,8 +1,8 @@
-// target_signals.cpp: what a target says of itself in the headers of its answers.
+// target_signals.cpp: signals that targets send in the headers of their answers.
 //
 // Index of this file:
-// [SECTION] Reading
-// [SECTION] Hearing
+// [SECTION] Parsing
+// [SECTION] Applying
 
 #include "target_signals.h"
 
@@ -17,16 +17,16 @@
 namespace Winchlink
 {
 
-static constexpr double BackoffMostS = 3600; // A target that asks for more is tried once an hour.
-static constexpr double ColdMostMs = 3.6e6;  // The same.
-static constexpr double LimitMostPerS = 1e9; // More is no limit.
+static constexpr double BackoffMaxS = 3600; // Upper bound of a requested back-off.
+static constexpr double ColdMaxMs = 3.6e6;  // Upper bound of a reported warm-up.
+static constexpr double LimitMaxPerS = 1e9; // Upper bound of a rate limit.
 
 //-----------------------------------------------------------------------------
-// [SECTION] Reading
+// [SECTION] Parsing
 //-----------------------------------------------------------------------------
 
-// A number from 0 that makes up the whole text; none for anything else.
-static std::optional<double> ReadNumber(const std::string& text)
+// Parses a non-negative decimal number; none if the text is anything else.
+static std::optional<double> ParseNumber(const std::string& text)
 {
     const bool decimal = !text.empty() && text.find_first_not_of("0123456789.") == std::string::npos;
     if (!decimal)
@@ -39,30 +39,30 @@
     return whole ? std::optional<double>(number) : std::nullopt;
 }
 
-static std::optional<time_t> ReadDate(const std::string& text)
+static std::optional<time_t> ParseDate(const std::string& text)
 {
     const time_t date = curl_getdate(text.c_str(), nullptr);
     return date >= 0 ? std::optional<time_t>(date) : std::nullopt;
 }
 
-// Seconds, or a date, which is seen against the answer's own Date: clocks differ.
-static std::optional<double> ReadRetryAfter(const std::string& text, const std::vector<Header>& headers, time_t now_s)
+// Parses seconds or an HTTP date. A date is taken relative to the answer's Date header, as the target's clock may differ from ours.
+static std::optional<double> ParseRetryAfter(const std::string& text, const std::vector<Header>& headers, time_t now_s)
 {
-    const std::optional<double> seconds = ReadNumber(text);
+    const std::optional<double> seconds = ParseNumber(text);
     const bool has_letters = std::any_of(text.begin(), text.end(), [](unsigned char c) { return std::isalpha(c) != 0; });
-    const std::optional<time_t> until = has_letters ? ReadDate(text) : std::nullopt;
+    const std::optional<time_t> until = has_letters ? ParseDate(text) : std::nullopt;
     if (seconds || !until)
     {
         return seconds;
     }
     const std::string* date = FindHeader(headers, "Date");
-    const std::optional<time_t> from = date != nullptr ? ReadDate(*date) : std::nullopt;
+    const std::optional<time_t> from = date != nullptr ? ParseDate(*date) : std::nullopt;
     return std::max(std::difftime(*until, from.value_or(now_s)), 0.0);
 }
 
-static TimeUs TimeOf(double amount, double most, TimeUs unit)
+static TimeUs ToTimeUs(double amount, double max, TimeUs unit)
 {
-    return std::llround(std::min(amount, most) * static_cast<double>(unit));
+    return std::llround(std::min(amount, max) * static_cast<double>(unit));
 }
 
 static bool IsRefusal(int status)
@@ -70,11 +70,11 @@
     return status == 429 || status == 503;
 }
 
-// The number in a header; one that makes no sense is put among those that can't be read.
-static std::optional<double> NumberIn(const std::vector<Header>& headers, const std::string& name, TargetSignals* signals)
+// Parses the number in a header; a malformed value is added to signals->Unreadable.
+static std::optional<double> ParseNumberHeader(const std::vector<Header>& headers, const std::string& name, TargetSignals* signals)
 {
     const std::string* text = name.empty() ? nullptr : FindHeader(headers, name);
-    const std::optional<double> number = text != nullptr ? ReadNumber(*text) : std::nullopt;
+    const std::optional<double> number = text != nullptr ? ParseNumber(*text) : std::nullopt;
     if (text != nullptr && !number)
     {
         signals->Unreadable.push_back({name, *text});
@@ -85,23 +85,23 @@
 TargetSignals ReadTargetSignals(const WireNames& names, int status, const std::vector<Header>& headers, time_t now_s)
 {
     TargetSignals signals;
-    const std::optional<double> limit = NumberIn(headers, names.Limit, &signals);
+    const std::optional<double> limit = ParseNumberHeader(headers, names.Limit, &signals);
     if (limit)
     {
-        signals.LimitPerS = std::min(*limit, LimitMostPerS);
+        signals.LimitPerS = std::min(*limit, LimitMaxPerS);
     }
-    const std::optional<double> cold = NumberIn(headers, names.ColdMs, &signals);
+    const std::optional<double> cold = ParseNumberHeader(headers, names.ColdMs, &signals);
     if (cold)
     {
-        signals.ColdUs = TimeOf(*cold, ColdMostMs, UsPerMs);
+        signals.ColdUs = ToTimeUs(*cold, ColdMaxMs, UsPerMs);
     }
     const std::string* leaving = FindHeader(headers, names.Leaving);
     signals.Leaving = leaving != nullptr && *leaving == "1";
     const std::string* retry = IsRefusal(status) ? FindHeader(headers, names.RetryAfter) : nullptr;
-    const std::optional<double> backoff = retry != nullptr ? ReadRetryAfter(*retry, headers, now_s) : std::nullopt;
+    const std::optional<double> backoff = retry != nullptr ? ParseRetryAfter(*retry, headers, now_s) : std::nullopt;
     if (backoff)
     {
-        signals.BackoffUs = TimeOf(*backoff, BackoffMostS, UsPerSecond);
+        signals.BackoffUs = ToTimeUs(*backoff, BackoffMaxS, UsPerSecond);
     }
     else if (retry != nullptr)
     {
@@ -111,7 +111,7 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Hearing
+// [SECTION] Applying
 //-----------------------------------------------------------------------------
 
 static void CountSignals(const TargetSignals& signals, SignalCounters* counters)
@@ -146,11 +146,11 @@
     LogUnreadable(source, signals.Unreadable);
 }
 
-// A health answer without a limit says nothing of one that only answers to requests have named: some targets tell less there.
-static void HearLimit(Forwarder* forwarder, const SignalSource& source, const TargetSignals& signals)
+// Only an answer to a request can remove a limit by not having one: health answers of some targets never contain it.
+static void ApplyLimit(Forwarder* forwarder, const SignalSource& source, const TargetSignals& signals)
 {
-    const bool ends_one = !source.Health && !forwarder->TargetLimits.Named.empty();
-    if (!signals.LimitPerS && !ends_one)
+    const bool removes_limit = !source.Health && !forwarder->TargetLimits.Named.empty();
+    if (!signals.LimitPerS && !removes_limit)
     {
         return;
     }
@@ -166,7 +166,7 @@
     }
 }
 
-static void HearBackoff(ServiceState* service, const SignalSource& source, int status, const TargetSignals& signals)
+static void ApplyBackoff(ServiceState* service, const SignalSource& source, int status, const TargetSignals& signals)
 {
     const TimeUs now = NowUs();
     const TimeUs time = signals.BackoffUs.value_or(0);
@@ -177,17 +177,20 @@
     }
 }
 
-static void HearLeaving(Forwarder* forwarder, const SignalSource& source, const TargetSignals& signals)
+static void ApplyDraining(Forwarder* forwarder, const SignalSource& source, const TargetSignals& signals)
 {
     if (signals.Leaving && DirectoryToldLeaving(&forwarder->Directory, source.Target, source.Life))
     {
         Log(LogLevel_Info, Code_None, "target says that it leaves", {{"target", source.Target}, {"health", source.Health ? 1 : 0}});
         forwarder->Following =
-            TimerStart(forwarder->Loop, 0, [forwarder]() { ForwarderFollow(forwarder); }); // May send, as we may not here.
+            TimerStart(forwarder->Loop, 0,
+                       [forwarder]() {
+                           ForwarderFollow(forwarder);
+                       }); // Deferred to the event loop: ForwarderFollow() may send requests, which isn't allowed in this call.
     }
 }
 
-static void HearCold(ServiceState* service, const SignalSource& source, const TargetSignals& signals)
+static void ApplyWarmup(ServiceState* service, const SignalSource& source, const TargetSignals& signals)
 {
     PoolTarget* target = signals.ColdUs ? PoolFind(&service->Pool, source.Target) : nullptr;
     if (target != nullptr && target->Life == source.Life)
@@ -198,7 +201,7 @@
 
 void HearTarget(Forwarder* forwarder, ServiceState* service, const SignalSource& source, int status, const std::vector<Header>& headers)
 {
-    constexpr int wrong_target = 421; // What it says is of another target at that address.
+    constexpr int wrong_target = 421; // Misdirected request: another target answers at that address.
     if (status == wrong_target)
     {
         return;
@@ -206,10 +209,10 @@
     const TargetSignals signals = ReadTargetSignals(forwarder->Names, status, headers, std::time(nullptr));
     CountSignals(signals, &service->Signals);
     LogSignals(source, status, signals);
-    HearLimit(forwarder, source, signals);
-    HearBackoff(service, source, status, signals);
-    HearLeaving(forwarder, source, signals);
-    HearCold(service, source, signals);
+    ApplyLimit(forwarder, source, signals);
+    ApplyBackoff(service, source, status, signals);
+    ApplyDraining(forwarder, source, signals);
+    ApplyWarmup(service, source, signals);
 }
 
 } // namespace Winchlink
--- a/gateway/target_signals.h
+++ b/gateway/target_signals.h
@@ -1,7 +1,7 @@
-// target_signals.h: what a target says of itself in the headers of its answers.
+// target_signals.h: signals that targets send in the headers of their answers.
 //
-// It counts once the headers are there, whatever the answer's status is and whatever becomes of its body or of the request: the caller may
-// have left, another attempt may have been faster.
+// Signals are applied when the headers arrive, whatever the status of the answer, and even if the request was cancelled or another attempt
+// was answered first.
 
 #pragma once
 
@@ -12,26 +12,25 @@
 
 struct TargetSignals
 {
-    std::optional<double> LimitPerS; // Requests a second that it takes from all instances together.
-    std::optional<TimeUs> BackoffUs; // It refuses, and wants nothing from this instance for so long.
-    std::optional<TimeUs> ColdUs;    // It is cold for so much longer.
-    bool Leaving = false;            // It takes no new requests.
-    std::vector<Header> Unreadable;  // Headers of the above whose values make no sense; they say nothing.
+    std::optional<double> LimitPerS; // Rate limit in requests per second, for all instances together.
+    std::optional<TimeUs> BackoffUs; // Time for which this instance must send it nothing.
+    std::optional<TimeUs> ColdUs;    // Remaining warm-up time.
+    bool Leaving = false;            // Draining: it takes no new requests.
+    std::vector<Header> Unreadable;  // Signal headers with malformed values, which are ignored.
 };
 
-// `status` and `headers` are of one answer. `now_s`: seconds of the wall clock, for a Retry-After that names a date in an answer without
-// a Date of its own.
+// Parses the signals of one answer. `now_s`: wall-clock time in seconds; used for a Retry-After date if the answer has no Date header.
 TargetSignals ReadTargetSignals(const WireNames& names, int status, const std::vector<Header>& headers, time_t now_s);
 
-// Which target an answer is from, and to what.
+// The origin of an answer.
 struct SignalSource
 {
-    std::string Target;  // Id.
-    uint64_t Life = 0;   // Which start of it.
-    bool Health = false; // The answer is to a question about its health; else to a request.
+    std::string Target;  // Id of the target.
+    uint64_t Life = 0;   // Incarnation of the target.
+    bool Health = false; // Answer to a health probe; otherwise to a request.
 };
 
-// Takes note of what an answer says of its target.
+// Applies the signals of an answer to the state of its target.
 void HearTarget(Forwarder* forwarder, ServiceState* service, const SignalSource& source, int status, const std::vector<Header>& headers);
 
 } // namespace Winchlink
--- a/winchlink.h
+++ b/winchlink.h
@@ -147,13 +147,13 @@
 
 struct Endpoint
 {
-    uint32_t Ip = 0;   // IPv4, host order.
+    uint32_t Ip = 0;   // IPv4 address in host byte order.
     uint16_t Port = 0; // UDP or TCP port.
 };
 
 bool operator==(const Endpoint& a, const Endpoint& b);
 
-// "a.b.c.d:port" with a port from 1 to 65535; Code_TableBadAddress for anything else.
+// Parses "a.b.c.d:port" with a port from 1 to 65535; fails with Code_TableBadAddress.
 Result<Endpoint> ParseEndpoint(const std::string& address);
 std::string FormatEndpoint(const Endpoint& endpoint);
 bool IsAddress(const std::string& address);
@@ -168,13 +168,13 @@
 inline constexpr size_t MethodMax = 32;              // Letters of a method.
 inline constexpr size_t TextMax = 256;               // Bytes of a name, host, prefix or address.
 inline constexpr size_t RowValueMax = MiB;           // Bytes of one row's document.
-inline constexpr size_t TableDocumentMax = 16 * MiB; // Bytes of the whole document; 600 rows of 11 targets are some 1.4 MB.
+inline constexpr size_t TableDocumentMax = 16 * MiB; // Bytes of the whole document.
 
 enum Class_ : int
 {
-    Class_Critical,   // Served first where slots are short.
-    Class_Normal,     // Served before background.
-    Class_Background, // Served last; may wait.
+    Class_Critical,   // Highest priority when free slots are scarce.
+    Class_Normal,     // Medium priority.
+    Class_Background, // Lowest priority; may wait longest.
     Class_COUNT,
 };
 
@@ -183,57 +183,57 @@
 struct TargetRow
 {
     std::string Address;    // "IP:port".
-    std::string DataCentre; // Where it runs; compared with the instance's own.
-    int Weight = 1;         // How often it is tried first, relative to others, 0 (no work) to 1000.
-    int Slots = 1;          // Requests it works on at once.
+    std::string DataCentre; // Where it runs. Targets in the instance's data centre are preferred.
+    int Weight = 1;         // Relative share of the requests, 0 to 1000.
+    int Slots = 1;          // Requests that it can process concurrently.
 };
 
 struct ServiceRow
 {
     std::string Name;                       // Unique in the table.
-    std::string PathPrefix;                 // Requests whose path starts so belong to the row; may be empty if Host is set.
-    std::string Host;                       // Requests with this Host header; empty means any.
-    Class_ Class = Class_Normal;            // Who gives way to whom.
-    int ConnectionsPerInstance = 16;        // Connections that one instance holds to one target, at the most.
-    int RequestsPerInstance = 0;            // Requests of the row in progress at one instance, at the most; 0: no limit.
-    int DeadlineMs = 1000;                  // Deadline where the caller names none.
-    int AimMs = 0;                          // An answer within this time is good; 0: half of DeadlineMs.
-    int AttemptsMost = 3;                   // Targets that one request may be sent to.
-    std::string HealthPath;                 // GET of it tells a target's load at once; empty: targets are never asked.
-    std::vector<std::string> RepeatMethods; // Methods that may be run more than once.
+    std::string PathPrefix;                 // Path prefix of the row's requests; may be empty if Host is set.
+    std::string Host;                       // Host header of the row's requests; empty: any.
+    Class_ Class = Class_Normal;            // Priority of the row's requests.
+    int ConnectionsPerInstance = 16;        // Maximum connections from one instance to one target.
+    int RequestsPerInstance = 0;            // Maximum requests of the row in progress at one instance; 0: no limit.
+    int DeadlineMs = 1000;                  // Deadline of requests that set none.
+    int AimMs = 0;                          // Latency objective; 0: half of DeadlineMs.
+    int AttemptsMost = 3;                   // Maximum attempts of one request.
+    std::string HealthPath;                 // Path of the probe, a GET request; empty: targets are not probed.
+    std::vector<std::string> RepeatMethods; // Methods of requests that may be retried.
     std::vector<TargetRow> Targets;         // At least one.
 };
 
 struct Table
 {
-    uint64_t Revision = 0;              // Grows with each edit; 0: no table yet.
-    std::vector<ServiceRow> Rows;       // As the document names them.
-    std::vector<std::string> Evacuated; // Data centres whose targets get nothing, each once.
+    uint64_t Revision = 0;              // Increases with each edit; 0: no table yet.
+    std::vector<ServiceRow> Rows;       // In document order.
+    std::vector<std::string> Evacuated; // Data centres whose targets get no requests, without duplicates.
 };
 
 struct Fault
 {
-    Code_ Code = Code_None; // Which check failed.
+    Code_ Code = Code_None; // The check that failed.
     std::string Where;      // Key path, such as "rows[3].targets[0].weight".
-    std::string Detail;     // What was expected and what was found.
+    std::string Detail;     // Expected and actual value.
 };
 
 struct CheckedTable
 {
-    Table Value;               // Meaningful only when Faults is empty.
+    Table Value;               // Valid only if Faults is empty.
     std::vector<Fault> Faults; // All faults, in document order.
 };
 
-// Reads the operators' document (docs/OPERATORS.md). Reports every fault, not only the first.
+// Parses and validates the operators' document (docs/OPERATORS.md). Reports all faults, not only the first.
 CheckedTable ParseTable(const std::string& json);
 
-// All checks on a table that was put together from rows.
+// Validates a table that was assembled from single rows.
 std::vector<Fault> CheckTable(const Table& table);
 
-// Reads one row of the document by itself.
+// Parses and validates a single row of the document.
 Result<ServiceRow> ParseRow(const std::string& json);
 
-// The row and the table as documents.
+// The row and the table as JSON documents.
 std::string FormatRow(const ServiceRow& row);
 std::string FormatTable(const Table& table);
 
@@ -287,50 +287,50 @@
 // [SECTION] Route plan (what an instance serves; newer versions win)
 //-----------------------------------------------------------------------------
 
-// A part of a route's requests goes to each of its services.
+// One of the services that share a route's requests.
 struct RoutePart
 {
-    std::string Service; // Which service.
-    int Weight = 1;      // Its share is Weight / sum of weights.
+    std::string Service; // Name of the service.
+    int Weight = 1;      // Its share of the requests is Weight / sum of all weights.
 };
 
 struct Route
 {
     std::string Name;                       // Unique in the plan.
-    std::string Host;                       // Requests with this Host header; empty: with any, where no route names theirs.
-    std::string PathPrefix;                 // Requests whose path is this or lies below it.
+    std::string Host;                       // Host header of its requests; empty: any that no other route matches.
+    std::string PathPrefix;                 // Matches this path and the paths below it.
     std::vector<RoutePart> Parts;           // At least one.
-    bool Repeatable = false;                // Requests of any method may be run more than once.
-    std::vector<std::string> RepeatMethods; // Where not Repeatable: methods that may be.
-    TimeUs TimeoutUs = 0;                   // A request is answered by then, whatever the answer.
-    TimeUs AimUs = 0;                       // An answer within this time is good.
-    int Priority = 0;                       // 0 is the most urgent.
-    int AttemptsMost = 1;                   // Targets that one request may be sent to.
-    bool Public = false;                    // Its requests need no customer's key.
+    bool Repeatable = false;                // Requests of any method may be retried.
+    std::vector<std::string> RepeatMethods; // If not Repeatable: methods of requests that may be retried.
+    TimeUs TimeoutUs = 0;                   // Time within which the caller gets an answer, if only an error.
+    TimeUs AimUs = 0;                       // Latency objective.
+    int Priority = 0;                       // 0 is the highest priority.
+    int AttemptsMost = 1;                   // Maximum attempts of one request.
+    bool Public = false;                    // Its requests need no customer key.
 };
 
 struct ServiceInfo
 {
     std::string Name;        // Unique in the plan.
-    std::string HealthPath;  // GET of it tells health and load of a target; empty: targets are not asked.
-    int ConnectionsMost = 0; // Connections to one target, at the most; 0: no limit.
-    int RequestsMost = 0;    // Requests in progress at this instance, at the most; 0: no limit.
-    double ColdPerS = 0;     // Requests a second, of all instances, that a target bears while it is cold; 0: nothing is said of it.
-    TimeUs ColdUs = 0;       // How long a target is cold.
+    std::string HealthPath;  // Path of the probe, a GET request; empty: targets are not probed.
+    int ConnectionsMost = 0; // Maximum connections to one target; 0: no limit.
+    int RequestsMost = 0;    // Maximum requests in progress at this instance; 0: no limit.
+    double ColdPerS = 0;     // Maximum requests per second, from all instances, to a cold target; 0: no limit.
+    TimeUs ColdUs = 0;       // Length of a target's warm-up, during which it is cold.
 };
 
-// What callers may send.
+// Limits of what callers may send.
 struct CallerLimits
 {
     size_t HeaderBytesMost = 16 * KiB;
     size_t BodyBytesMost = 64 * MiB;
-    TimeUs HeaderTimeoutUs = 3 * UsPerSecond; // To read all headers.
-    TimeUs IdleTimeoutUs = 15 * UsPerSecond;  // Between two requests of a connection.
+    TimeUs HeaderTimeoutUs = 3 * UsPerSecond; // To receive all headers.
+    TimeUs IdleTimeoutUs = 15 * UsPerSecond;  // Between two requests on a connection.
 };
 
 struct RoutePlan
 {
-    uint64_t Version = 0; // 0: no plan yet. Higher versions replace lower ones, never the reverse.
+    uint64_t Version = 0; // 0: no plan yet. Only a higher version replaces a plan.
     std::vector<Route> Routes;
     std::vector<ServiceInfo> Services;
     CallerLimits Limits;
@@ -339,30 +339,30 @@
 
 using RoutePlanPtr = std::shared_ptr<const RoutePlan>;
 
-// The plan that serves a table: a route and a service for each row, under the table's revision.
+// Makes the plan of a table: one route and one service for each row. Its version is the table's revision.
 RoutePlan MakePlan(const Table& table);
 
 int64_t SumOfWeights(const std::vector<RoutePart>& parts);
 
-// The route of a request: of those with its host, else of those with none, the one with the longest prefix of the path. "/a" serves "/a"
-// and "/a/b" but not "/ab". Null if none. The port in `host` and the query in `target` are passed over.
+// Finds the route of a request: the longest matching path prefix among the routes with its host or, if none matches, among those without a
+// host. "/a" matches "/a" and "/a/b" but not "/ab". Null if there is none. Ignores the port in `host` and the query in `target`.
 const Route* FindRoute(const RoutePlan& plan, const std::string& host, const std::string& target);
 
-// Whether a request of that method may be run more than once.
+// Whether a request with that method may be retried.
 bool MayRepeat(const Route& route, const std::string& method);
 
-// The service of that name, or null.
+// The service with that name, or null.
 const ServiceInfo* FindService(const RoutePlan& plan, const std::string& name);
 
-// Smooth weighted round robin: after any number of requests each part is within one request of its share. Instances start at random
-// places, so that their rounding errors cancel out.
+// State of a smooth weighted round robin, which keeps each part within one request of its share. Instances start at random positions, so
+// that their rounding errors cancel out.
 struct RouteSplit
 {
-    std::vector<RoutePart> Parts; // Those that Credit belongs to.
-    std::vector<int64_t> Credit;  // What each part is behind its share, in weights.
+    std::vector<RoutePart> Parts; // Parts that Credit refers to; a change restarts the round.
+    std::vector<int64_t> Credit;  // Deficit of each part relative to its share, in units of weight.
 };
 
-// The part that gets the next request.
+// Index of the part that gets the next request.
 size_t RouteSplitNext(RouteSplit* split, const std::vector<RoutePart>& parts, Random* random);
 
 //-----------------------------------------------------------------------------
--- a/winchlink_document.cpp
+++ b/winchlink_document.cpp
@@ -1,7 +1,6 @@
-// winchlink_document.cpp: the table as JSON: the operators' document, and its rows one by one.
+// winchlink_document.cpp: the table as JSON: the operators' document, and single rows.
 //
-// Parsing is strict: an unknown key is more often a misspelt one than one to be ignored. Every fault is reported, so that an operator
-// mends a table in one go.
+// Parsing is strict: unknown keys are errors, as most are misspelt. All faults of a document are reported together.
 //
 // Index of this file:
 // [SECTION] Reading
@@ -81,7 +80,7 @@
     out->push_back(std::move(row));
 }
 
-// Parses a document of limited size.
+// Parses a document of at most `most` bytes.
 static JsonPtr LoadBounded(const std::string& json, size_t most, std::vector<Fault>* faults)
 {
     if (json.size() > most)
--- a/winchlink_json.cpp
+++ b/winchlink_json.cpp
@@ -1,6 +1,6 @@
 // winchlink_json.cpp: strict reading of JSON documents.
 //
-// jansson parses; this file adds key paths, codes and the habit of naming every fault at once.
+// Adds key paths, result codes and the collection of all faults to the jansson parser.
 //
 // Index of this file:
 // [SECTION] Loading
@@ -66,7 +66,7 @@
     json_t* value = json_object_get(r->Object, key);
     if (value == nullptr && required)
     {
-        AddFault(*r, r->Codes.MissingKey, key, "this key is required");
+        AddFault(*r, r->Codes.MissingKey, key, "required key is missing");
     }
     return value;
 }
@@ -80,7 +80,7 @@
     }
     if (!json_is_string(value))
     {
-        AddFault(*r, r->Codes.WrongType, key, "expected a text");
+        AddFault(*r, r->Codes.WrongType, key, "expected a string");
         return;
     }
     out->assign(json_string_value(value), json_string_length(value));
@@ -95,13 +95,13 @@
     }
     if (!json_is_integer(value))
     {
-        AddFault(*r, r->Codes.WrongType, key, "expected a whole number");
+        AddFault(*r, r->Codes.WrongType, key, "expected an integer");
         return;
     }
     const json_int_t number = json_integer_value(value);
     if (number < std::numeric_limits<int>::min() || number > std::numeric_limits<int>::max())
     {
-        AddFault(*r, r->Codes.OutOfRange, key, "number too large");
+        AddFault(*r, r->Codes.OutOfRange, key, "integer out of range");
         return;
     }
     *out = static_cast<int>(number);
@@ -148,7 +148,7 @@
     }
     if (!json_is_integer(value) || json_integer_value(value) < 1)
     {
-        AddFault(*r, r->Codes.WrongType, key, "expected a whole number from 1");
+        AddFault(*r, r->Codes.WrongType, key, "expected an integer of at least 1");
         return;
     }
     *out = static_cast<uint64_t>(json_integer_value(value));
@@ -159,7 +159,7 @@
     json_t* value = ReadKey(r, key, required);
     if (value != nullptr && !json_is_array(value))
     {
-        AddFault(*r, r->Codes.WrongType, key, "expected a list");
+        AddFault(*r, r->Codes.WrongType, key, "expected an array");
         return nullptr;
     }
     return value;
@@ -174,7 +174,7 @@
     {
         if (!json_is_string(value))
         {
-            AddFault(*r, r->Codes.WrongType, ElementPath(key, index), "expected a text");
+            AddFault(*r, r->Codes.WrongType, ElementPath(key, index), "expected a string");
             continue;
         }
         out->emplace_back(json_string_value(value), json_string_length(value));
@@ -189,14 +189,14 @@
     {
         if (r.Known.count(key) == 0)
         {
-            AddFault(r, r.Codes.UnknownKey, key, "there is no such key here");
+            AddFault(r, r.Codes.UnknownKey, key, "unknown key");
         }
     }
 }
 
 Error FirstFault(const std::vector<Fault>& faults)
 {
-    assert(!faults.empty() && "asked for the first of no faults");
+    assert(!faults.empty() && "the list of faults is empty");
     return Error{faults[0].Code, faults[0].Where + ": " + faults[0].Detail};
 }
 
@@ -219,7 +219,7 @@
 {
     const JsonPtr owner(value, json_decref);
     const std::unique_ptr<char, decltype(&free)> text(json_dumps(value, flags), free);
-    assert(text && "a JSON value that can't be written");
+    assert(text && "the JSON value can't be serialised");
     return text.get();
 }
 
--- a/winchlink_plan.cpp
+++ b/winchlink_plan.cpp
@@ -1,4 +1,4 @@
-// winchlink_plan.cpp: the route plan: finding the route of a request, and dividing a route's requests among its services.
+// winchlink_plan.cpp: the route plan: route lookup, and the weighted split of a route's requests among its services.
 
 #include "winchlink.h"
 
@@ -14,7 +14,7 @@
     return host.substr(0, host.find(':'));
 }
 
-// "/loans" serves "/loans" and "/loans/7" but not "/loans-archive".
+// Matches whole path segments: "/loans" matches "/loans" and "/loans/7" but not "/loans-archive".
 static bool PrefixMatches(const std::string& prefix, const std::string& path)
 {
     if (path.compare(0, prefix.size(), prefix) != 0)
@@ -77,8 +77,9 @@
     return sum;
 }
 
-// One step of the round: every part earns its weight, the one with most credit pays for the request.
-static size_t Step(RouteSplit* split, int64_t sum)
+// One step of smooth weighted round robin: adds each part's weight to its credit, chooses the part with the most credit and charges it
+// the sum of the weights.
+static size_t RoundRobinStep(RouteSplit* split, int64_t sum)
 {
     for (size_t n = 0; n < split->Parts.size(); n++)
     {
@@ -100,16 +101,16 @@
     assert(sum > 0 && "the weights of a route have a sum above zero");
     if (!SameParts(split->Parts, parts))
     {
-        constexpr int64_t skipped_most = 1000; // A round is as long as the sum of weights; beyond this the place is random enough.
+        constexpr int64_t skipped_max = 1000; // Bounds the cost of starting at a random position of the round.
         split->Parts = parts;
         split->Credit.assign(parts.size(), 0);
-        const int64_t skipped = std::uniform_int_distribution<int64_t>(0, std::min(sum, skipped_most) - 1)(*random);
+        const int64_t skipped = std::uniform_int_distribution<int64_t>(0, std::min(sum, skipped_max) - 1)(*random);
         for (int64_t n = 0; n < skipped; n++)
         {
-            Step(split, sum);
+            RoundRobinStep(split, sum);
         }
     }
-    return Step(split, sum);
+    return RoundRobinStep(split, sum);
 }
 
 } // namespace Winchlink
--- a/winchlink_table.cpp
+++ b/winchlink_table.cpp
@@ -1,9 +1,9 @@
-// winchlink_table.cpp: addresses, the checks on a table, and the route plan that serves it.
+// winchlink_table.cpp: addresses, validation of tables, and the route plan made from a table.
 //
 // Index of this file:
 // [SECTION] Addresses
-// [SECTION] Checks on one row
-// [SECTION] Checks on all rows
+// [SECTION] Validation of one row
+// [SECTION] Validation of all rows
 // [SECTION] Plan
 
 #include "winchlink_internal.h"
@@ -24,18 +24,18 @@
     return a.Ip == b.Ip && a.Port == b.Port;
 }
 
-// The port in decimal digits; 0 if it is none.
+// Parses a decimal port; 0 if it is malformed or out of range.
 static int ParsePort(const std::string& digits)
 {
-    constexpr size_t digits_most = 5;
-    constexpr int port_most = 65535;
+    constexpr size_t digits_max = 5;
+    constexpr int port_max = 65535;
     const bool plain = std::all_of(digits.begin(), digits.end(), [](char c) { return c >= '0' && c <= '9'; });
-    if (digits.empty() || digits.size() > digits_most || !plain)
+    if (digits.empty() || digits.size() > digits_max || !plain)
     {
         return 0;
     }
     const int port = std::stoi(digits);
-    return port <= port_most ? port : 0;
+    return port <= port_max ? port : 0;
 }
 
 Result<Endpoint> ParseEndpoint(const std::string& address)
@@ -72,15 +72,15 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Checks on one row
+// [SECTION] Validation of one row
 //-----------------------------------------------------------------------------
 
-static void CheckRange(int value, int least, int most, const std::string& where, std::vector<Fault>* faults)
+static void CheckRange(int value, int min, int max, const std::string& where, std::vector<Fault>* faults)
 {
-    if (value < least || value > most)
+    if (value < min || value > max)
     {
         faults->push_back({Code_TableOutOfRange, where,
-                           "expected " + std::to_string(least) + " to " + std::to_string(most) + ", found " + std::to_string(value)});
+                           "expected " + std::to_string(min) + " to " + std::to_string(max) + ", found " + std::to_string(value)});
     }
 }
 
@@ -108,7 +108,7 @@
 {
     if (row.Targets.empty())
     {
-        faults->push_back({Code_TableNoTargets, where + ".targets", "a row needs at least one target"});
+        faults->push_back({Code_TableNoTargets, where + ".targets", "expected at least one target"});
     }
     if (row.Targets.size() > RowTargetsMax)
     {
@@ -121,7 +121,7 @@
         CheckTarget(row.Targets[n], path, faults);
         if (!seen.insert(row.Targets[n].Address).second)
         {
-            faults->push_back({Code_TableDuplicateTarget, path + ".address", row.Targets[n].Address + " is named twice"});
+            faults->push_back({Code_TableDuplicateTarget, path + ".address", row.Targets[n].Address + " is listed twice"});
         }
     }
 }
@@ -139,7 +139,7 @@
         if (method.empty() || method.size() > MethodMax || !upper)
         {
             faults->push_back({Code_TableOutOfRange, ElementPath(where + ".repeatMethods", n),
-                               "expected a method of at most " + std::to_string(MethodMax) + " capitals, such as GET"});
+                               "expected a method of at most " + std::to_string(MethodMax) + " capital letters, such as GET"});
         }
     }
 }
@@ -148,7 +148,7 @@
 {
     if (row.Name.empty())
     {
-        faults->push_back({Code_TableOutOfRange, where + ".name", "a name can't be empty"});
+        faults->push_back({Code_TableOutOfRange, where + ".name", "must not be empty"});
     }
     const bool plain =
         std::all_of(row.Name.begin(), row.Name.end(), [](unsigned char c) { return isalnum(c) != 0 || c == '-' || c == '_' || c == '.'; });
@@ -166,7 +166,7 @@
     CheckText(row.HealthPath, where + ".healthPath", faults);
     if (row.PathPrefix.empty() && row.Host.empty())
     {
-        faults->push_back({Code_TableMissingKey, where, "a row needs a pathPrefix, a host or both"});
+        faults->push_back({Code_TableMissingKey, where, "expected a pathPrefix, a host or both"});
     }
     if (!row.PathPrefix.empty() && row.PathPrefix[0] != '/')
     {
@@ -180,20 +180,20 @@
 
 void CheckRow(const ServiceRow& row, const std::string& where, std::vector<Fault>* faults)
 {
-    constexpr int deadline_most_ms = 600000;
+    constexpr int deadline_max_ms = 600000;
     CheckName(row, where, faults);
     CheckPaths(row, where, faults);
     CheckRange(row.ConnectionsPerInstance, 1, 100000, where + ".connectionsPerInstance", faults);
     CheckRange(row.RequestsPerInstance, 0, 1000000, where + ".requestsPerInstance", faults);
-    CheckRange(row.DeadlineMs, 1, deadline_most_ms, where + ".deadlineMs", faults);
-    CheckRange(row.AimMs, 0, deadline_most_ms, where + ".aimMs", faults);
+    CheckRange(row.DeadlineMs, 1, deadline_max_ms, where + ".deadlineMs", faults);
+    CheckRange(row.AimMs, 0, deadline_max_ms, where + ".aimMs", faults);
     CheckRange(row.AttemptsMost, 1, 10, where + ".attemptsMost", faults);
     CheckMethods(row, where, faults);
     CheckTargets(row, where, faults);
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Checks on all rows
+// [SECTION] Validation of all rows
 //-----------------------------------------------------------------------------
 
 void CheckRows(const Table& table, std::vector<Fault>* faults)
@@ -210,7 +210,7 @@
         const std::string path = ElementPath("rows", n);
         if (!names.insert(row.Name).second)
         {
-            faults->push_back({Code_TableDuplicateService, path + ".name", "\"" + row.Name + "\" is named twice"});
+            faults->push_back({Code_TableDuplicateService, path + ".name", "\"" + row.Name + "\" is listed twice"});
         }
         if (!routes.insert(row.Host + " " + row.PathPrefix).second)
         {
@@ -247,7 +247,7 @@
         }
         if (!seen.insert(data_centre).second)
         {
-            faults->push_back({Code_TableDuplicateEvacuation, path, "\"" + data_centre + "\" is named twice"});
+            faults->push_back({Code_TableDuplicateEvacuation, path, "\"" + data_centre + "\" is listed twice"});
         }
     }
 }
@@ -270,7 +270,7 @@
 
 static Route MakeRoute(const ServiceRow& row)
 {
-    const int aim_ms = row.AimMs > 0 ? row.AimMs : row.DeadlineMs / 2;
+    const int objective_ms = row.AimMs > 0 ? row.AimMs : row.DeadlineMs / 2;
     Route route;
     route.Name = row.Name;
     route.Host = row.Host;
@@ -278,7 +278,7 @@
     route.Parts = {{row.Name, 1}};
     route.RepeatMethods = row.RepeatMethods;
     route.TimeoutUs = row.DeadlineMs * UsPerMs;
-    route.AimUs = aim_ms * UsPerMs;
+    route.AimUs = objective_ms * UsPerMs;
     route.Priority = row.Class;
     route.AttemptsMost = row.AttemptsMost;
     return route;
