--- a/gateway/target_signals.cpp
+++ b/gateway/target_signals.cpp
@@ -182,11 +182,8 @@
     if (signals.Leaving && DirectoryToldLeaving(&forwarder->Directory, source.Target, source.Life))
     {
         Log(LogLevel_Info, Code_None, "target says that it leaves", {{"target", source.Target}, {"health", source.Health ? 1 : 0}});
-        forwarder->Following =
-            TimerStart(forwarder->Loop, 0,
-                       [forwarder]() {
-                           ForwarderFollow(forwarder);
-                       }); // Deferred to the event loop: ForwarderFollow() may send requests, which isn't allowed in this call.
+        // Deferred to the event loop: ForwarderFollow() may send requests, which must not happen inside the header callback of a transfer.
+        forwarder->Following = TimerStart(forwarder->Loop, 0, [forwarder]() { ForwarderFollow(forwarder); });
     }
 }
 
@@ -201,7 +198,7 @@
 
 void HearTarget(Forwarder* forwarder, ServiceState* service, const SignalSource& source, int status, const std::vector<Header>& headers)
 {
-    constexpr int wrong_target = 421; // Misdirected request: another target answers at that address.
+    constexpr int wrong_target = 421; // Misdirected request: the signals are those of another target at that address.
     if (status == wrong_target)
     {
         return;
--- a/winchlink.h
+++ b/winchlink.h
@@ -184,7 +184,7 @@
 {
     std::string Address;    // "IP:port".
     std::string DataCentre; // Where it runs. Targets in the instance's data centre are preferred.
-    int Weight = 1;         // Relative share of the requests, 0 to 1000.
+    int Weight = 1;         // Relative share of the requests, 0 (none) to 1000.
     int Slots = 1;          // Requests that it can process concurrently.
 };
 
@@ -297,7 +297,7 @@
 struct Route
 {
     std::string Name;                       // Unique in the plan.
-    std::string Host;                       // Host header of its requests; empty: any that no other route matches.
+    std::string Host;                       // Host header of its requests; empty: any host without a matching route of its own.
     std::string PathPrefix;                 // Matches this path and the paths below it.
     std::vector<RoutePart> Parts;           // At least one.
     bool Repeatable = false;                // Requests of any method may be retried.
@@ -603,7 +603,8 @@
 // can't be retried, so targets that failed recently rank lower.
 PoolTarget* PoolNext(TargetPool* pool, const std::vector<std::string>& passed, bool careful, TimeUs now);
 
-// The same where targets are not probed: chooses among equals at random, as a fixed order could overload a target without being noticed.
+// The same where targets are not probed: chooses among equals at random. Without probes, instances that prefer the same targets would not
+// notice it.
 PoolTarget* PoolNextUnasked(TargetPool* pool, const std::vector<std::string>& passed, bool careful, TimeUs now, Random* random);
 
 // Whether one more request would make the target nearly full.
@@ -640,7 +641,7 @@
 
 // Starts or extends a back-off that an incarnation of a target requested: it gets neither requests nor probes until then. The back-off
 // outlasts later answers and removal from the pool, and does not apply to other incarnations. Returns true if the target was usable before.
-bool PoolBackOff(TargetPool* pool, const std::string& id, uint64_t life, TimeUs until, TimeUs now);
+bool PoolBackOff(TargetPool* pool, const std::string& id, uint64_t incarnation, TimeUs until, TimeUs now);
 
 // Whether no back-off forbids requests and probes to the target now.
 bool PoolMayUse(const PoolTarget& target, TimeUs now);
@@ -701,9 +702,8 @@
 
 struct QuarantineConfig
 {
-    int EndsMost = 3; // Number of crashes at which a request is quarantined.
-    TimeUs HoldUs =
-        600 * UsPerSecond; // Quarantine time after the last crash; doubles each time that the request crashes a target after its release.
+    int EndsMost = 3;                              // Number of crashes at which a request is quarantined.
+    TimeUs HoldUs = 600 * UsPerSecond;             // Initial quarantine time after the last crash; doubles with each crash after a release.
     TimeUs HoldMostUs = 24 * 3600LL * UsPerSecond; // Upper bound of the quarantine time.
     size_t RequestsMost = 512;                     // Requests kept; those with the fewest crashes are removed first.
     size_t EndsKept = 64;                          // Crashes kept for each request.
@@ -739,10 +739,10 @@
 };
 
 // Identifies one incarnation of a target: its id and, if not 0, "@" and the incarnation.
-std::string TargetLife(const std::string& id, uint64_t life);
+std::string TargetLife(const std::string& id, uint64_t incarnation);
 
 // A hash of TargetLife().
-uint64_t TargetLifeId(const std::string& id, uint64_t life);
+uint64_t TargetLifeId(const std::string& id, uint64_t incarnation);
 
 // Records that a target crashed while the request was in progress there. Returns true if the crash was new.
 bool QuarantineNote(Quarantine* quarantine, const std::string& request, const std::string& target, TimeUs now);
@@ -792,7 +792,7 @@
 struct SilentEnds
 {
     TimeUs WithinUs = 8 * UsPerSecond;  // Longest time from an attempt's start to the detection of a crash during it.
-    TimeUs KeptUs = 60 * UsPerSecond;   // Time for which a crashed target is kept; longer than attempts wait for an answer.
+    TimeUs KeptUs = 60 * UsPerSecond;   // Time for which a crashed target is kept, to be matched with attempts that end later.
     size_t Most = 512;                  // Maximum number of attempts, and of targets; the oldest are removed first.
     std::deque<SilentAttempt> Attempts; // In the order in which they ended.
     std::deque<SilentTarget> Targets;   // In the order of detection.
--- a/winchlink_document.cpp
+++ b/winchlink_document.cpp
@@ -1,6 +1,6 @@
 // winchlink_document.cpp: the table as JSON: the operators' document, and single rows.
 //
-// Parsing is strict: unknown keys are errors, as most are misspelt. All faults of a document are reported together.
+// Parsing is strict: unknown keys are errors, as max_size are misspelt. All faults of a document are reported together.
 //
 // Index of this file:
 // [SECTION] Reading
@@ -80,12 +80,12 @@
     out->push_back(std::move(row));
 }
 
-// Parses a document of at most `most` bytes.
-static JsonPtr LoadBounded(const std::string& json, size_t most, std::vector<Fault>* faults)
+// Parses a document of at max_size `max_size` bytes.
+static JsonPtr LoadBounded(const std::string& json, size_t max_size, std::vector<Fault>* faults)
 {
-    if (json.size() > most)
+    if (json.size() > max_size)
     {
-        faults->push_back({Code_TableTooLarge, "", "larger than " + std::to_string(most) + " bytes"});
+        faults->push_back({Code_TableTooLarge, "", "larger than " + std::to_string(max_size) + " bytes"});
         return JsonPtr(nullptr, json_decref);
     }
     return LoadJson(json, TableCodes, faults);
--- a/winchlink_pool.cpp
+++ b/winchlink_pool.cpp
@@ -99,10 +99,10 @@
 
 int64_t PoolDrawOrder(const PoolTarget& target, Random* random)
 {
-    constexpr double scale = 1e15; // Keeps orders distinct for weights up to 1000.
-    constexpr double most = 1e18;  // Fits int64_t.
+    constexpr double scale = 1e15;     // Keeps orders distinct for weights up to 1000.
+    constexpr double max_order = 1e18; // Fits int64_t.
     const double drawn = std::exponential_distribution<double>(std::max(target.Weight, 1))(*random);
-    return static_cast<int64_t>(std::min(drawn * scale, most));
+    return static_cast<int64_t>(std::min(drawn * scale, max_order));
 }
 
 void PoolSent(TargetPool* pool, PoolTarget* target)
@@ -297,14 +297,14 @@
     }
 }
 
-bool PoolBackOff(TargetPool* pool, const std::string& id, uint64_t life, TimeUs until, TimeUs now)
+bool PoolBackOff(TargetPool* pool, const std::string& id, uint64_t incarnation, TimeUs until, TimeUs now)
 {
     RemoveExpiredBackoffs(pool, now);
-    TimeUs& known = pool->Backoffs[TargetLifeId(id, life)];
+    TimeUs& known = pool->Backoffs[TargetLifeId(id, incarnation)];
     const bool usable = now >= known;
     known = std::max(known, until);
     PoolTarget* target = PoolFind(pool, id);
-    if (target != nullptr && target->Life == life)
+    if (target != nullptr && target->Life == incarnation)
     {
         target->BackoffUntilUs = known;
     }
--- a/winchlink_quarantine.cpp
+++ b/winchlink_quarantine.cpp
@@ -23,14 +23,14 @@
 
 static constexpr size_t NameBytesMax = 200; // Maximum bytes of a key or a target in an update.
 
-uint64_t TargetLifeId(const std::string& id, uint64_t life)
+uint64_t TargetLifeId(const std::string& id, uint64_t incarnation)
 {
-    return HashId("winchlink target", TargetLife(id, life));
+    return HashId("winchlink target", TargetLife(id, incarnation));
 }
 
-std::string TargetLife(const std::string& id, uint64_t life)
+std::string TargetLife(const std::string& id, uint64_t incarnation)
 {
-    return life == 0 ? id : id + "@" + std::to_string(life);
+    return incarnation == 0 ? id : id + "@" + std::to_string(incarnation);
 }
 
 static int CountCrashes(const SuspectRequest& request)
--- a/winchlink_silent.cpp
+++ b/winchlink_silent.cpp
@@ -30,9 +30,9 @@
     entries->erase(std::remove_if(entries->begin(), entries->end(), condition), entries->end());
 }
 
-template <class Entries> static void LimitSize(Entries* entries, size_t most)
+template <class Entries> static void LimitSize(Entries* entries, size_t max_size)
 {
-    while (entries->size() > most)
+    while (entries->size() > max_size)
     {
         entries->pop_front();
     }
