--- a/winchlink_document.cpp
+++ b/winchlink_document.cpp
@@ -1,6 +1,6 @@
 // winchlink_document.cpp: the table as JSON: the operators' document, and single rows.
 //
-// Parsing is strict: unknown keys are errors, as max_size are misspelt. All faults of a document are reported together.
+// Parsing is strict: unknown keys are errors, as most are misspelt. All faults of a document are reported together.
 //
 // Index of this file:
 // [SECTION] Reading
@@ -80,7 +80,7 @@
     out->push_back(std::move(row));
 }
 
-// Parses a document of at max_size `max_size` bytes.
+// Parses a document of at most `max_size` bytes.
 static JsonPtr LoadBounded(const std::string& json, size_t max_size, std::vector<Fault>* faults)
 {
     if (json.size() > max_size)
