--- a/winchlink.h
+++ b/winchlink.h
@@ -147,13 +147,13 @@
 
 struct Endpoint
 {
-    uint32_t Ip = 0;   // IPv4, host order.
+    uint32_t Ip = 0;   // IPv4 address in host byte order.
     uint16_t Port = 0; // UDP or TCP port.
 };
 
 bool operator==(const Endpoint& a, const Endpoint& b);
 
-// "a.b.c.d:port" with a port from 1 to 65535; Code_TableBadAddress for anything else.
+// Parses "a.b.c.d:port" with a port from 1 to 65535; fails with Code_TableBadAddress.
 Result<Endpoint> ParseEndpoint(const std::string& address);
 std::string FormatEndpoint(const Endpoint& endpoint);
 bool IsAddress(const std::string& address);
@@ -168,13 +168,13 @@
 inline constexpr size_t MethodMax = 32;              // Letters of a method.
 inline constexpr size_t TextMax = 256;               // Bytes of a name, host, prefix or address.
 inline constexpr size_t RowValueMax = MiB;           // Bytes of one row's document.
-inline constexpr size_t TableDocumentMax = 16 * MiB; // Bytes of the whole document; 600 rows of 11 targets are some 1.4 MB.
+inline constexpr size_t TableDocumentMax = 16 * MiB; // Bytes of the whole document.
 
 enum Class_ : int
 {
-    Class_Critical,   // Served first where slots are short.
-    Class_Normal,     // Served before background.
-    Class_Background, // Served last; may wait.
+    Class_Critical,   // Highest priority when free slots are scarce.
+    Class_Normal,     // Medium priority.
+    Class_Background, // Lowest priority; may wait longest.
     Class_COUNT,
 };
 
@@ -183,57 +183,57 @@
 struct TargetRow
 {
     std::string Address;    // "IP:port".
-    std::string DataCentre; // Where it runs; compared with the instance's own.
-    int Weight = 1;         // How often it is tried first, relative to others, 0 (no work) to 1000.
-    int Slots = 1;          // Requests it works on at once.
+    std::string DataCentre; // Where it runs. Targets in the instance's data centre are preferred.
+    int Weight = 1;         // Relative share of the requests, 0 (none) to 1000.
+    int Slots = 1;          // Requests that it can process concurrently.
 };
 
 struct ServiceRow
 {
     std::string Name;                       // Unique in the table.
-    std::string PathPrefix;                 // Requests whose path starts so belong to the row; may be empty if Host is set.
-    std::string Host;                       // Requests with this Host header; empty means any.
-    Class_ Class = Class_Normal;            // Who gives way to whom.
-    int ConnectionsPerInstance = 16;        // Connections that one instance holds to one target, at the most.
-    int RequestsPerInstance = 0;            // Requests of the row in progress at one instance, at the most; 0: no limit.
-    int DeadlineMs = 1000;                  // Deadline where the caller names none.
-    int AimMs = 0;                          // An answer within this time is good; 0: half of DeadlineMs.
-    int AttemptsMost = 3;                   // Targets that one request may be sent to.
-    std::string HealthPath;                 // GET of it tells a target's load at once; empty: targets are never asked.
-    std::vector<std::string> RepeatMethods; // Methods that may be run more than once.
+    std::string PathPrefix;                 // Path prefix of the row's requests; may be empty if Host is set.
+    std::string Host;                       // Host header of the row's requests; empty: any.
+    Class_ Class = Class_Normal;            // Priority of the row's requests.
+    int ConnectionsPerInstance = 16;        // Maximum connections from one instance to one target.
+    int RequestsPerInstance = 0;            // Maximum requests of the row in progress at one instance; 0: no limit.
+    int DeadlineMs = 1000;                  // Deadline of requests that set none.
+    int AimMs = 0;                          // Latency objective; 0: half of DeadlineMs.
+    int AttemptsMost = 3;                   // Maximum attempts of one request.
+    std::string HealthPath;                 // Path of the probe, a GET request; empty: targets are not probed.
+    std::vector<std::string> RepeatMethods; // Methods of requests that may be retried.
     std::vector<TargetRow> Targets;         // At least one.
 };
 
 struct Table
 {
-    uint64_t Revision = 0;              // Grows with each edit; 0: no table yet.
-    std::vector<ServiceRow> Rows;       // As the document names them.
-    std::vector<std::string> Evacuated; // Data centres whose targets get nothing, each once.
+    uint64_t Revision = 0;              // Increases with each edit; 0: no table yet.
+    std::vector<ServiceRow> Rows;       // In document order.
+    std::vector<std::string> Evacuated; // Data centres whose targets get no requests, without duplicates.
 };
 
 struct Fault
 {
-    Code_ Code = Code_None; // Which check failed.
+    Code_ Code = Code_None; // The check that failed.
     std::string Where;      // Key path, such as "rows[3].targets[0].weight".
-    std::string Detail;     // What was expected and what was found.
+    std::string Detail;     // Expected and actual value.
 };
 
 struct CheckedTable
 {
-    Table Value;               // Meaningful only when Faults is empty.
+    Table Value;               // Valid only if Faults is empty.
     std::vector<Fault> Faults; // All faults, in document order.
 };
 
-// Reads the operators' document (docs/OPERATORS.md). Reports every fault, not only the first.
+// Parses and validates the operators' document (docs/OPERATORS.md). Reports all faults, not only the first.
 CheckedTable ParseTable(const std::string& json);
 
-// All checks on a table that was put together from rows.
+// Validates a table that was assembled from single rows.
 std::vector<Fault> CheckTable(const Table& table);
 
-// Reads one row of the document by itself.
+// Parses and validates a single row of the document.
 Result<ServiceRow> ParseRow(const std::string& json);
 
-// The row and the table as documents.
+// The row and the table as JSON documents.
 std::string FormatRow(const ServiceRow& row);
 std::string FormatTable(const Table& table);
 
@@ -287,50 +287,50 @@
 // [SECTION] Route plan (what an instance serves; newer versions win)
 //-----------------------------------------------------------------------------
 
-// A part of a route's requests goes to each of its services.
+// One of the services that share a route's requests.
 struct RoutePart
 {
-    std::string Service; // Which service.
-    int Weight = 1;      // Its share is Weight / sum of weights.
+    std::string Service; // Name of the service.
+    int Weight = 1;      // Its share of the requests is Weight / sum of all weights.
 };
 
 struct Route
 {
     std::string Name;                       // Unique in the plan.
-    std::string Host;                       // Requests with this Host header; empty: with any, where no route names theirs.
-    std::string PathPrefix;                 // Requests whose path is this or lies below it.
+    std::string Host;                       // Host header of its requests; empty: any host without a matching route of its own.
+    std::string PathPrefix;                 // Matches this path and the paths below it.
     std::vector<RoutePart> Parts;           // At least one.
-    bool Repeatable = false;                // Requests of any method may be run more than once.
-    std::vector<std::string> RepeatMethods; // Where not Repeatable: methods that may be.
-    TimeUs TimeoutUs = 0;                   // A request is answered by then, whatever the answer.
-    TimeUs AimUs = 0;                       // An answer within this time is good.
-    int Priority = 0;                       // 0 is the most urgent.
-    int AttemptsMost = 1;                   // Targets that one request may be sent to.
-    bool Public = false;                    // Its requests need no customer's key.
+    bool Repeatable = false;                // Requests of any method may be retried.
+    std::vector<std::string> RepeatMethods; // If not Repeatable: methods of requests that may be retried.
+    TimeUs TimeoutUs = 0;                   // Time within which the caller gets an answer, if only an error.
+    TimeUs AimUs = 0;                       // Latency objective.
+    int Priority = 0;                       // 0 is the highest priority.
+    int AttemptsMost = 1;                   // Maximum attempts of one request.
+    bool Public = false;                    // Its requests need no customer key.
 };
 
 struct ServiceInfo
 {
     std::string Name;        // Unique in the plan.
-    std::string HealthPath;  // GET of it tells health and load of a target; empty: targets are not asked.
-    int ConnectionsMost = 0; // Connections to one target, at the most; 0: no limit.
-    int RequestsMost = 0;    // Requests in progress at this instance, at the most; 0: no limit.
-    double ColdPerS = 0;     // Requests a second, of all instances, that a target bears while it is cold; 0: nothing is said of it.
-    TimeUs ColdUs = 0;       // How long a target is cold.
+    std::string HealthPath;  // Path of the probe, a GET request; empty: targets are not probed.
+    int ConnectionsMost = 0; // Maximum connections to one target; 0: no limit.
+    int RequestsMost = 0;    // Maximum requests in progress at this instance; 0: no limit.
+    double ColdPerS = 0;     // Maximum requests per second, from all instances, to a cold target; 0: no limit.
+    TimeUs ColdUs = 0;       // Length of a target's warm-up, during which it is cold.
 };
 
-// What callers may send.
+// Limits of what callers may send.
 struct CallerLimits
 {
     size_t HeaderBytesMost = 16 * KiB;
     size_t BodyBytesMost = 64 * MiB;
-    TimeUs HeaderTimeoutUs = 3 * UsPerSecond; // To read all headers.
-    TimeUs IdleTimeoutUs = 15 * UsPerSecond;  // Between two requests of a connection.
+    TimeUs HeaderTimeoutUs = 3 * UsPerSecond; // To receive all headers.
+    TimeUs IdleTimeoutUs = 15 * UsPerSecond;  // Between two requests on a connection.
 };
 
 struct RoutePlan
 {
-    uint64_t Version = 0; // 0: no plan yet. Higher versions replace lower ones, never the reverse.
+    uint64_t Version = 0; // 0: no plan yet. Only a higher version replaces a plan.
     std::vector<Route> Routes;
     std::vector<ServiceInfo> Services;
     CallerLimits Limits;
@@ -339,30 +339,30 @@
 
 using RoutePlanPtr = std::shared_ptr<const RoutePlan>;
 
-// The plan that serves a table: a route and a service for each row, under the table's revision.
+// Makes the plan of a table: one route and one service for each row. Its version is the table's revision.
 RoutePlan MakePlan(const Table& table);
 
 int64_t SumOfWeights(const std::vector<RoutePart>& parts);
 
-// The route of a request: of those with its host, else of those with none, the one with the longest prefix of the path. "/a" serves "/a"
-// and "/a/b" but not "/ab". Null if none. The port in `host` and the query in `target` are passed over.
+// Finds the route of a request: the longest matching path prefix among the routes with its host or, if none matches, among those without a
+// host. "/a" matches "/a" and "/a/b" but not "/ab". Null if there is none. Ignores the port in `host` and the query in `target`.
 const Route* FindRoute(const RoutePlan& plan, const std::string& host, const std::string& target);
 
-// Whether a request of that method may be run more than once.
+// Whether a request with that method may be retried.
 bool MayRepeat(const Route& route, const std::string& method);
 
-// The service of that name, or null.
+// The service with that name, or null.
 const ServiceInfo* FindService(const RoutePlan& plan, const std::string& name);
 
-// Smooth weighted round robin: after any number of requests each part is within one request of its share. Instances start at random
-// places, so that their rounding errors cancel out.
+// State of a smooth weighted round robin, which keeps each part within one request of its share. Instances start at random positions, so
+// that their rounding errors cancel out.
 struct RouteSplit
 {
-    std::vector<RoutePart> Parts; // Those that Credit belongs to.
-    std::vector<int64_t> Credit;  // What each part is behind its share, in weights.
+    std::vector<RoutePart> Parts; // Parts that Credit refers to; a change restarts the round.
+    std::vector<int64_t> Credit;  // Deficit of each part relative to its share, in units of weight.
 };
 
-// The part that gets the next request.
+// Index of the part that gets the next request.
 size_t RouteSplitNext(RouteSplit* split, const std::vector<RoutePart>& parts, Random* random);
 
 //-----------------------------------------------------------------------------
@@ -472,116 +472,112 @@
 // [SECTION] Target pool (which target to ask for its load, and which to take)
 //-----------------------------------------------------------------------------
 
-// What a target tells of its load.
+// The load that a target reports.
 struct LoadReport
 {
-    int Running = 0;       // Requests it works on.
-    int Waiting = 0;       // Requests in its queue.
-    int Slots = 1;         // Requests it can work on at once.
-    int PacePercent = 100; // Time that work takes there now; 100 is usual.
+    int Running = 0;       // Requests being processed.
+    int Waiting = 0;       // Requests in the target's queue.
+    int Slots = 1;         // Requests that it can process concurrently.
+    int PacePercent = 100; // Current processing time, in percent of the usual one.
 };
 
-// How long a target may take to tell its load before it is passed over: learnt for each service from what its targets take, as a slow
-// target takes several times as long as another, and a dead one for ever. The time grows with each answer that does not come within it and
-// shrinks a little with each that does, so that in the mean one in LateShare comes too late, whatever targets and network take.
-//
-// A constant is either too short for slow targets, whose connections then are taken for silent ones and given up, or too long for fast
-// ones.
+// Adaptive timeout of load probes, one for each service. It grows with each probe that times out and shrinks slightly with each that is
+// answered in time, so that on average a share LateShare of the probes times out.
 struct AskTime
 {
-    TimeUs LeastUs = 40 * UsPerMs; // Answers of targets in good order, on a network in good order, come within it.
-    TimeUs MostUs = 160 * UsPerMs; // Targets that never answer must not hold a request for longer.
-    double LateShare = 0.005;      // Answers that may come too late.
-    double Growth = 1.5;           // After a late one.
-    double NowUs = 0;              // What it is now; 0: LeastUs, as nothing is known.
+    TimeUs LeastUs = 40 * UsPerMs; // Lower bound, and the initial value.
+    TimeUs MostUs = 160 * UsPerMs; // Upper bound: the longest time that an unresponsive target delays a request.
+    double LateShare = 0.005;      // Share of the probes that may time out.
+    double Growth = 1.5;           // Factor after a probe that timed out.
+    double NowUs = 0;              // Current timeout; 0 before the first probe.
 };
 
 TimeUs AskTimeNow(const AskTime& time);
 void AskTimeAnswered(AskTime* time);
 void AskTimeLate(AskTime* time);
 
-// The load in "running,waiting,slots,pace"; the pace may be missing. None where the text is no such list.
+// Parses "running,waiting,slots,pace"; the pace is optional. Returns none if the text is malformed.
 std::optional<LoadReport> ParseLoadReport(const std::string& text);
 
 struct PoolTarget
 {
     std::string Id;
-    uint64_t Life = 0;   // Which start of it, as its entry says.
-    uint64_t LifeId = 0; // Stands for both, see TargetLifeId().
+    uint64_t Life = 0;   // Incarnation, from the directory.
+    uint64_t LifeId = 0; // Hash of Id and Life, see TargetLifeId().
     std::string Address;
-    bool Near = false;         // In our own data centre.
-    bool Doubtful = false;     // Its entry has vanished.
-    int Slots = 1;             // As its entry says.
-    int Weight = 1;            // As its entry says.
-    TimeUs WarmUntilUs = 0;    // It is cold, and slow, until then.
-    int ColdSent = 0;          // Our requests to it since it was last cold.
-    bool New = false;          // It came while the pool was in use and has had no request of ours.
-    int64_t Order = 0;         // Among equals the lowest is asked first: an instance keeps to the same few, and to their connections.
-    uint64_t Entry = 0;        // Counts entries into the pool: a target that left it and came back has another one.
-    int InFlight = 0;          // Our requests there, of this entry.
-    int Since = 0;             // Of those, sent since Report was made.
+    bool Near = false;         // In the instance's data centre.
+    bool Doubtful = false;     // Its directory entry is missing.
+    int Slots = 1;             // Requests that it can process concurrently, from the directory.
+    int Weight = 1;            // From the directory.
+    TimeUs WarmUntilUs = 0;    // End of its warm-up, during which it is cold and slower; 0 if none.
+    int ColdSent = 0;          // Requests that this instance sent to it since the start of the warm-up.
+    bool New = false;          // Added while the pool was in use, and this instance has not sent it a request yet.
+    int64_t Order = 0;         // Among equals, the lowest is probed first, so that an instance reuses connections to the same targets.
+    uint64_t Entry = 0;        // Generation of the pool entry; differs after the target was removed and added again.
+    int InFlight = 0;          // Requests of this instance in progress there, sent through this entry.
+    int Since = 0;             // Requests that this instance sent to it since Report.
     LoadReport Report;         // The last one.
-    TimeUs ReportUs = 0;       // When it came; 0: never.
-    int FailuresInRow = 0;     // Requests and questions without a good answer.
-    TimeUs AvoidUntilUs = 0;   // After failures: taken only where nothing else is left.
-    TimeUs CarefulUntilUs = 0; // After failures: it gets what may not be repeated only where nothing better is left.
-    TimeUs BackoffUntilUs = 0; // It asked for nothing from us until then, see PoolBackOff().
+    TimeUs ReportUs = 0;       // Time of the last report; 0 if none.
+    int FailuresInRow = 0;     // Consecutive failed requests and probes.
+    TimeUs AvoidUntilUs = 0;   // After failures: used only as a last resort until then.
+    TimeUs CarefulUntilUs = 0; // After failures: ranked lower until then for requests that can't be retried.
+    TimeUs BackoffUntilUs = 0; // End of the back-off that the target requested, see PoolBackOff().
 
-    // Kept by the pool.
-    int Group = 0;       // See PoolIndex.
-    bool Marked = false; // The same.
-    uint64_t Listed = 0; // The last PoolFollow() that named it.
+    // Managed by the pool.
+    int Group = 0;       // Index into PoolIndex::Groups.
+    bool Marked = false; // In PoolIndex::Marked.
+    uint64_t Listed = 0; // Value of TargetPool::Follows at the last PoolFollow() that listed it.
 };
 
-inline constexpr int PoolGroupCount = 4; // Near and far, of one slot and of several.
+inline constexpr int PoolGroupCount = 4; // In the own or another data centre, with and without a request making the target nearly full.
 
-// Finds targets without a look at all of them, so that a decision costs the same whatever the size of a service: with 6,600 targets the
-// next one to ask is found in 0.6 us (362 us by a look at all), and one by its id in 0.02 us (winchbench pool).
+// Index that makes the cost of choosing a target independent of the size of the service.
 //
-// Most targets are at rest: nothing is known of them, and nothing of ours is there. Of these the one that comes first in its group is the
-// best. All others are marked and looked at one by one: those asked of late, with requests of ours, new, cold, doubtful or failed. Whoever
-// gets a pointer to a target may change it, so it is marked then; marks are dropped when a target is found at rest.
+// Most targets are at rest: without a recent report, requests of this instance or any other special state. Among these, the first of each
+// group ranks best. All others are marked and compared one by one: targets that were probed recently, have requests of this instance, or
+// are new, cold, doubtful or failed. A function that returns a pointer to a target marks it, as the caller may change it; PoolNext()
+// unmarks targets that are at rest again.
 struct PoolIndex
 {
     std::unordered_map<std::string, std::list<PoolTarget>::iterator> ById;
-    std::array<std::set<std::pair<int64_t, PoolTarget*>>, PoolGroupCount> Groups; // By Order.
+    std::array<std::set<std::pair<int64_t, PoolTarget*>>, PoolGroupCount> Groups; // Sorted by Order.
     std::vector<PoolTarget*> Marked;
 };
 
 struct PoolConfig
 {
-    double NearlyFullShare = 0.8;       // Some targets are slower when fuller than this (users' site files, "knee").
-    double NearlyFullGain = 0.05;       // Least weight of a new answer in the estimate of by how much.
-    int NearlyFullPrior = 3;            // The first guess counts as so many answers.
-    double NearlyFullMost = 3.0;        // Longest factor that one answer may tell: more has other causes.
-    double WarmFactor = 2.0;            // Those that have just started are slower too.
-    double ColdPerS = 0;                // As the service says, see ServiceInfo.
-    TimeUs ColdUs = 0;                  // The same.
-    double ShareGain = 0.02;            // Weight of a new report in the estimate of our share of a service's work: some 50 reports.
-    double SharePrior = 10;             // Requests that others are taken to have in progress beyond those reported: a start takes little.
-    double GoodCost = 1.25;             // A target at this cost or less is taken without asking further.
-    double SettleCost = 2.0;            // At this cost or less it is taken when no good one was found: see PoolSettles().
-    TimeUs ReportUs = 150 * UsPerMs;    // Load shifts within this time: an older report says nothing (users' site files, "noise").
-    TimeUs AvoidUs = 200 * UsPerMs;     // First pause after a failure; doubles with each further one.
-    int AvoidDoublings = 4;             // At most so often.
-    TimeUs CarefulUs = 3 * UsPerSecond; // A failure speaks against requests that may not be repeated for so long.
+    double NearlyFullShare = 0.8;       // A target with more than this share of its slots in use is nearly full.
+    double NearlyFullGain = 0.05;       // Minimum weight of a new sample in the estimate of NearlyFullFactor.
+    int NearlyFullPrior = 3;            // Number of samples that the initial estimate counts as.
+    double NearlyFullMost = 3.0;        // Upper bound of one sample.
+    double WarmFactor = 2.0;            // Cost factor of cold targets.
+    double ColdPerS = 0;                // See ServiceInfo.
+    TimeUs ColdUs = 0;                  // See ServiceInfo.
+    double ShareGain = 0.02;            // Weight of a new report in the estimate of this instance's share of the work.
+    double SharePrior = 10;             // Requests added to the estimated total, so that the share is small while little is known.
+    double GoodCost = 1.25;             // A target with at most this cost is taken without further probes.
+    double SettleCost = 2.0;            // Maximum cost of a target taken when no good one was found, see PoolSettles().
+    TimeUs ReportUs = 150 * UsPerMs;    // Age at which a report is stale.
+    TimeUs AvoidUs = 200 * UsPerMs;     // Avoidance period after the first failure; doubles with each consecutive one.
+    int AvoidDoublings = 4;             // Maximum number of doublings.
+    TimeUs CarefulUs = 3 * UsPerSecond; // Time after a failure in which requests that can't be retried prefer other targets.
 };
 
 struct TargetPool
 {
     PoolConfig Config;
-    std::list<PoolTarget> Targets; // PoolFollow() alone changes who is there.
+    std::list<PoolTarget> Targets; // Only PoolFollow() adds and removes targets.
     PoolIndex Index;               // Over Targets.
     uint64_t Follows = 0;          // Calls of PoolFollow().
-    bool InUse = false;            // It has had a request: targets that come later are new.
-    bool TellsLoad = true;         // Targets of this service tell their load; false once one has answered without.
-    double NearlyFullFactor = 1.4; // How many times longer work takes at a nearly full target: learnt, from a guess between none and 1.8.
-    int NearlyFullSeen = 0;        // Answers that it was learnt from.
-    double ReportedWork = 0;       // Requests at one target, in the mean of those that told theirs of late.
-    double OwnWork = 0;            // Our requests in progress, in the mean of the same moments.
-    std::unordered_map<uint64_t, TimeUs> Backoffs; // By life: targets that want nothing until then, also while they are not in the pool.
-    int Evacuated = 0;                             // Targets of the service that are left out because their data centre is evacuated.
-    uint64_t LastEntry = 0;                        // See PoolTarget.
+    bool InUse = false;            // A request was sent; targets added from now on are new.
+    bool TellsLoad = true;         // Targets of this service report their load; false once one has answered without a report.
+    double NearlyFullFactor = 1.4; // Estimated slowdown of a nearly full target.
+    int NearlyFullSeen = 0;        // Samples in NearlyFullFactor.
+    double ReportedWork = 0;       // Moving average of the requests at one target, from load reports.
+    double OwnWork = 0;            // Moving average of this instance's requests in progress, sampled at the same times.
+    std::unordered_map<uint64_t, TimeUs> Backoffs; // End of the back-off by LifeId, also of targets that are not in the pool.
+    int Evacuated = 0;                             // Targets left out because their data centre is evacuated.
+    uint64_t LastEntry = 0;                        // Last value of PoolTarget::Entry.
 
     TargetPool() = default;
     TargetPool(TargetPool&&) = default;
@@ -590,72 +586,67 @@
     TargetPool& operator=(const TargetPool&) = delete;
 };
 
-// Brings the pool in line with the targets of its service; what is known of targets that stay is kept. Targets that leave, and those of
-// evacuated data centres, are not in it, so that nothing that looks for a target finds them. Of the new targets one is asked first for each
-// request until all have had one.
+// Synchronises the pool with the targets of its service; the state of targets that stay is kept. Draining targets and those of evacuated
+// data centres are not in the pool. For each request one new target is probed first, until every new target has had a request.
 void PoolFollow(TargetPool* pool, const TargetList& listed, const std::string& data_centre, Random* random);
 
-// A request goes to the target.
+// Records that a request was sent to the target.
 void PoolSent(TargetPool* pool, PoolTarget* target);
 
-// The target of that id, or null. A pointer is good until the pool is used again.
+// The target with that id, or null. The pointer is valid until the pool is used again.
 PoolTarget* PoolFind(TargetPool* pool, const std::string& id);
 
-// The same, as long as it is that entry: one that has come back since, or started again, is another one to whoever had to do with it.
+// The same, but null if the target was removed and added again or restarted since, so that its pool entry is another one.
 PoolTarget* PoolFindEntry(TargetPool* pool, const std::string& id, uint64_t entry);
 
-// The next target to ask, or to try where targets tell no load; null when all are in `passed`. `careful`, for what may not be repeated:
-// those that have failed of late come after those that have not.
+// The next target to probe, or to try where targets report no load; null if none is left that is not in `passed`. `careful`: the request
+// can't be retried, so targets that failed recently rank lower.
 PoolTarget* PoolNext(TargetPool* pool, const std::vector<std::string>& passed, bool careful, TimeUs now);
 
-// The same where targets are not asked: among equals by chance, as nothing would tell an instance that others keep to the same ones.
+// The same where targets are not probed: chooses among equals at random. Without probes, instances that prefer the same targets would not
+// notice it.
 PoolTarget* PoolNextUnasked(TargetPool* pool, const std::vector<std::string>& passed, bool careful, TimeUs now, Random* random);
 
 // Whether one more request would make the target nearly full.
 bool PoolNearlyFull(const PoolConfig& config, const LoadReport& report, int more);
 
-// Whether the target's last report leaves room for one more request. Where nearly full targets are so much slower that they do less in
-// all, their last slots are not used (docs/MEASUREMENTS.md).
+// Whether the target has a free slot for one more request, by its last report. Where the slowdown of nearly full targets would reduce
+// their total throughput, their last slots are not used.
 bool PoolHasRoom(const TargetPool& pool, const PoolTarget& target);
 
-// Whether a target may get a request although it is cold; true for those that are not, and where nothing is said of what they bear.
+// Whether the warm-up limit allows a request to the target now; true for warm targets, and where the service sets no limit.
 //
-// Nobody counts the fleet, and a target that fails at once looks idle to everybody. So each instance takes its share of the rate that the
-// target bears, and its share is that of the work: its own requests in progress, against what targets report of all. The shares of a fleet
-// add up to one. Each instance's requests to a cold target fall at even distances after a random beginning, so that those of the fleet come
-// as by chance, at the rate in the mean. Besides, the target must have told just now that it has nothing to do. (ColdLoadTest: of 18 to
-// 473 instances that find a whole service cold and failing at once, a target gets 5 requests in any second at the most, where the users
-// allow 11.75; without the share 9 to 76.) What it costs: cold targets get about a quarter of what they bear.
+// The limit ColdPerS applies to all instances together, but their number is unknown. Each instance therefore uses a share of the limit: its
+// own requests in progress divided by the total that targets report. The shares of all instances add up to about one. An instance spaces
+// its requests to a cold target evenly after a random phase, so that instances don't send at the same time. The target must also have
+// reported that it is idle.
 bool PoolMayTakeCold(const TargetPool& pool, const PoolTarget& target, TimeUs now);
 
-// Learns from a report what our share of the service's work is; `own`: our requests in progress.
+// Updates the estimate of this instance's share of the service's work. `own`: requests of this instance in progress.
 void PoolLearnShare(TargetPool* pool, const LoadReport& report, int own);
 
-// The target says itself how long it is still cold.
+// Sets the end of the target's warm-up, as reported by the target or its directory entry. Never shortens it.
 void PoolToldCold(const PoolConfig& config, PoolTarget* target, TimeUs until);
 
-// Learns from an answer how much slower nearly full targets are: it took `factor` times what the same work takes elsewhere.
+// Adds a sample to NearlyFullFactor: a request at a nearly full target took `factor` times as long as the same work elsewhere.
 void PoolLearnNearlyFull(TargetPool* pool, double factor);
 
-// How many times longer than usual one more request is expected to take there.
+// Expected time of one more request at the target, as a multiple of the usual time.
 double PoolCost(const TargetPool& pool, const PoolTarget& target, TimeUs now);
 
-// Whether a target that has room is taken, once those asked are known and none of them is good, rather than wait for a better one. One that
-// is nearly full is, as long as it does no less in all with its last slot in use (twice the usual time, at two slots); a slow one is not.
-//
-// What it buys: with two slots the target of one request in progress is nearly full, and up to half of all are. At 1.6 requests were
-// refused beside them: 0.696 of the worth of four days with bursts, evacuations and losses against 0.737 at 2.0, in time 0.876 and 0.915
-// (two seeds each); with three and six slots no difference beyond the spread (TwoSlotLoadTest).
+// Whether a target with a free slot is acceptable when none of the probed targets is good. A nearly full target is, up to twice the usual
+// time; a slow one is not. With two slots, a target with one request in progress already counts as nearly full, so a lower bound would
+// refuse requests while slots are free.
 bool PoolSettles(const TargetPool& pool, const PoolTarget& target, TimeUs now);
 
-// That life of a target wants nothing from us until then: no request, no question. It holds whatever else the target answers, and for one
-// that leaves the pool and comes back; another start of it has asked for nothing. True if it could be used until now.
-bool PoolBackOff(TargetPool* pool, const std::string& id, uint64_t life, TimeUs until, TimeUs now);
+// Starts or extends a back-off that an incarnation of a target requested: it gets neither requests nor probes until then. The back-off
+// outlasts later answers and removal from the pool, and does not apply to other incarnations. Returns true if the target was usable before.
+bool PoolBackOff(TargetPool* pool, const std::string& id, uint64_t incarnation, TimeUs until, TimeUs now);
 
-// Whether the target may get anything now.
+// Whether no back-off forbids requests and probes to the target now.
 bool PoolMayUse(const PoolTarget& target, TimeUs now);
 
-// When the first target may get something again; none if one may now, or there is none.
+// The earliest end of a back-off if all targets are in back-off; none otherwise, or if the pool is empty.
 std::optional<TimeUs> PoolBackoffEnds(const TargetPool& pool, TimeUs now);
 
 void PoolReport(PoolTarget* target, const LoadReport& report, TimeUs now);
@@ -697,129 +688,127 @@
 // [SECTION] Quarantine (requests that end the targets that run them)
 //-----------------------------------------------------------------------------
 
-// Some requests end every target that begins to run them, and their callers send them again. Each try has another request id and comes to
-// another instance, so that repeat budgets don't see it, and no instance alone meets enough of the ends. So each instance remembers which
-// targets have ended under which request, by what stays the same at every try (a key), and tells the others; what all have seen together
-// decides. Held requests are refused; without that one such request, sent again every 0.4 s, ends a service of twelve targets for good.
+// Some requests crash every target that runs them. When callers retry such a request, each try has another request id and may reach another
+// instance, so retry budgets don't stop it and no instance alone sees all the crashes. Each instance therefore records which targets
+// crashed while running a request, by a key that is the same at every try, and exchanges these records with the others. A request with
+// too many crashes is quarantined: it is refused.
 //
-// A request that merely was at a target when it ended must not be taken for the one that ended it. So an answer, wherever it comes from,
-// clears a request of all ends before; one that ends its targets is never answered. (QuarantineLoadTest: 40 callers that ask for the same
-// page every 0.4 s while a target is killed twice a second: none of 6,000 tries is refused wrongly, 104 without clearing.)
+// A request that was merely in progress at a target when it crashed must not be blamed. An answer from any target therefore clears all
+// earlier crashes of a request: one that crashes its targets is never answered.
 //
-// How to use it: QuarantineNote() for each request in progress at a target that has ended, QuarantineAnswered() when one was answered,
-// QuarantineUntil() before one is sent; hand on QuarantineTell() where digests differ, and take what comes with QuarantineTake(). In
-// whatever order news come, all that have heard the same hold the same requests.
+// How to use it: QuarantineNote() for each request in progress at a target that crashed, QuarantineAnswered() when one was answered,
+// QuarantineUntil() before one is sent. Send QuarantineTell() to instances with another digest and merge what they send with
+// QuarantineTake(). Instances with the same records quarantine the same requests, whatever the order of the updates.
 
 struct QuarantineConfig
 {
-    int EndsMost = 3;                              // A request is held once so many targets have ended under it: the users allow three.
-    TimeUs HoldUs = 600 * UsPerSecond;             // So long after the last end; doubled for each time that it ended a target again later.
-    TimeUs HoldMostUs = 24 * 3600LL * UsPerSecond; // The longest time that it is held: targets have been mended by then.
-    size_t RequestsMost = 512;                     // Requests that are remembered; those with the fewest ends go first. 100 KB.
-    size_t EndsKept = 64;                          // Targets that are remembered of each.
+    int EndsMost = 3;                              // Number of crashes at which a request is quarantined.
+    TimeUs HoldUs = 600 * UsPerSecond;             // Initial quarantine time after the last crash; doubles with each crash after a release.
+    TimeUs HoldMostUs = 24 * 3600LL * UsPerSecond; // Upper bound of the quarantine time.
+    size_t RequestsMost = 512;                     // Requests kept; those with the fewest crashes are removed first.
+    size_t EndsKept = 64;                          // Crashes kept for each request.
 };
 
-// A target that ended while the request was there.
+// A crash of a target while the request was in progress there.
 struct TargetEnd
 {
-    TimeUs AtUs = 0;      // When.
-    bool Cleared = false; // The request has been answered since, or an operator has lifted it.
+    TimeUs AtUs = 0;      // Time of the crash.
+    bool Cleared = false; // The request was answered since, or an operator lifted its quarantine.
 };
 
 struct SuspectRequest
 {
-    std::map<std::string, TargetEnd> Ends; // By target and its life.
-    TimeUs HeldUntilUs = 0;                // It is refused until then; 0: it is not.
+    std::map<std::string, TargetEnd> Ends; // By TargetLife().
+    TimeUs HeldUntilUs = 0;                // End of the quarantine; 0 if not quarantined.
 };
 
-// What instances tell each other.
+// A crash as instances exchange it.
 struct TargetEndNews
 {
-    std::string Request; // Key.
-    std::string Target;  // And its life.
-    TimeUs AgeUs = 0;    // How long ago.
+    std::string Request; // Key of the request.
+    std::string Target;  // See TargetLife().
+    TimeUs AgeUs = 0;    // Time since the crash.
     bool Cleared = false;
 };
 
 struct Quarantine
 {
     QuarantineConfig Config;
-    std::map<std::string, SuspectRequest> Requests; // By key. Empty on nearly all days: then no request costs anything.
-    uint64_t Digest = 0;                            // Of all that is known but the times: alike where the same is known. 0: nothing is.
+    std::map<std::string, SuspectRequest> Requests; // By key.
+    uint64_t Digest = 0;                            // Hash of all records except their times; 0 if there are none.
 };
 
-// A target's name in here: its id and which start of it.
-std::string TargetLife(const std::string& id, uint64_t life);
+// Identifies one incarnation of a target: its id and, if not 0, "@" and the incarnation.
+std::string TargetLife(const std::string& id, uint64_t incarnation);
 
-// A number that stands for it.
-uint64_t TargetLifeId(const std::string& id, uint64_t life);
+// A hash of TargetLife().
+uint64_t TargetLifeId(const std::string& id, uint64_t incarnation);
 
-// A target has ended while the request was in progress there. True if that was not known.
+// Records that a target crashed while the request was in progress there. Returns true if the crash was new.
 bool QuarantineNote(Quarantine* quarantine, const std::string& request, const std::string& target, TimeUs now);
 
-// The request was answered, or an operator lifts it: its ends so far count no more. True if there were any.
+// Clears all crashes of a request that was answered, or whose quarantine an operator lifts. Returns true if there were any.
 bool QuarantineAnswered(Quarantine* quarantine, const std::string& request);
 
-// Until when the request is refused; 0: it is not.
+// End of the request's quarantine; 0 if it is not quarantined.
 TimeUs QuarantineUntil(const Quarantine& quarantine, const std::string& request, TimeUs now);
 
-// Ends that count against the request.
+// Number of crashes that are not cleared.
 int QuarantineEnds(const Quarantine& quarantine, const std::string& request);
 
-// All that is known, and what another instance has told. True if any of it was new. News that make no sense are passed over.
+// Exports all records, and merges those of another instance. QuarantineTake() ignores implausible updates and returns true if the state
+// changed.
 std::vector<TargetEndNews> QuarantineTell(const Quarantine& quarantine, TimeUs now);
-bool QuarantineTake(Quarantine* quarantine, const std::vector<TargetEndNews>& news, TimeUs now);
+bool QuarantineTake(Quarantine* quarantine, const std::vector<TargetEndNews>& updates, TimeUs now);
 
-// Forgets what is too old to count. Call it every second or so.
+// Removes expired records. Call it about once a second.
 void QuarantineForget(Quarantine* quarantine, TimeUs now);
 
 //-----------------------------------------------------------------------------
 // [SECTION] Silent ends (targets that end without closing their connections)
 //-----------------------------------------------------------------------------
 
-// A target whose machine falls silent closes no connection: what it was working on is never answered, as behind a cut or at a target that
-// hangs. Only later does the store tell the difference: another start has its id or its address, or its entry goes though nobody said that
-// it leaves. So attempts that ended unanswered are remembered for a while, and so are such targets: an attempt may still wait when its
-// target's end is known. Without it a request that silences its targets is never held, however many (SilentEndsTest: none of its ends
-// counts).
+// A target whose machine fails closes no connection: its requests time out, as after a network partition or at a target that hangs. Only
+// later does the store show the crash: a new incarnation has its id or its address, or its entry is missing though it was not draining.
+// Unanswered attempts and crashed targets are therefore kept for a while and matched, so that such crashes count for the quarantine. An
+// attempt may still be in progress when the crash of its target is detected.
 //
-// How to use it: SilentAttemptEnded() for each attempt that ended unanswered, SilentTargetEnded() for each of DirectoryTakeEnded(),
-// SilentAnswered() when a request was answered. What they return are ends for the quarantine.
+// How to use it: SilentAttemptEnded() for each attempt that ended unanswered, SilentTargetEnded() for each target from
+// DirectoryTakeEnded(), SilentAnswered() when a request was answered. Pass the crashes they report to QuarantineNote().
 
 struct SilentAttempt
 {
-    std::string Request; // Key.
-    std::string Target;  // And its life.
-    TimeUs SentUs = 0;   // When it began.
+    std::string Request; // Key of the request.
+    std::string Target;  // See TargetLife().
+    TimeUs SentUs = 0;   // Start of the attempt.
 };
 
 struct SilentTarget
 {
-    std::string Target;  // And its life.
-    TimeUs LearntUs = 0; // When it was known to have ended.
+    std::string Target;  // See TargetLife().
+    TimeUs LearntUs = 0; // Time at which its crash was detected.
 };
 
 struct SilentEnds
 {
-    TimeUs WithinUs =
-        8 * UsPerSecond;              // A target that ends under an attempt is known to have ended so soon after the attempt's start: an
-                                      // entry goes after three heartbeats of up to 1.5 s; the rest is for the work, the store and a margin.
-    TimeUs KeptUs = 60 * UsPerSecond; // Such a target is remembered for so long: attempts wait no longer for an answer.
-    size_t Most = 512;                // Attempts, and targets, that are remembered; the oldest go first. 100 KB.
+    TimeUs WithinUs = 8 * UsPerSecond;  // Longest time from an attempt's start to the detection of a crash during it.
+    TimeUs KeptUs = 60 * UsPerSecond;   // Time for which a crashed target is kept, to be matched with attempts that end later.
+    size_t Most = 512;                  // Maximum number of attempts, and of targets; the oldest are removed first.
     std::deque<SilentAttempt> Attempts; // In the order in which they ended.
-    std::deque<SilentTarget> Targets;   // In the order in which they were learnt.
+    std::deque<SilentTarget> Targets;   // In the order of detection.
 };
 
-// An attempt ended without an answer. True if its target is known to have ended under it; else that may still turn out.
+// Records that an attempt ended without an answer. Returns true if its target is known to have crashed during it; otherwise
+// SilentTargetEnded() may still report it.
 bool SilentAttemptEnded(SilentEnds* silent, const SilentAttempt& attempt, TimeUs now);
 
-// A target ended without a word. Returns the attempts under which it did.
+// Records that a target crashed. Returns the recorded attempts that were in progress at that time.
 std::vector<SilentAttempt> SilentTargetEnded(SilentEnds* silent, const std::string& target, TimeUs now);
 
-// The request was answered: its former attempts say nothing any more.
+// The request was answered: removes its attempts.
 void SilentAnswered(SilentEnds* silent, const std::string& request);
 
-// Forgets what is too old to count. Call it every second or so.
+// Removes expired records. Call it about once a second.
 void SilentForget(SilentEnds* silent, TimeUs now);
 
 //-----------------------------------------------------------------------------
