--- a/winchlink_follow.cpp
+++ b/winchlink_follow.cpp
@@ -1,12 +1,12 @@
-// winchlink_follow.cpp: whom an instance asks for news, and whom it serves.
+// winchlink_follow.cpp: which source an instance gets updates from, and how many followers it serves.
 //
-// A round of sources is one after the other: first contacts, for those that read also the store, and then one instance more. Nothing is
-// paused for within a round; after it everybody waits, by chance, as many fail at the same moment.
+// After a failure an instance tries its sources in a round: the seeds, for a seed also the store, and then one or more of the other known
+// instances. There is no pause within a round. Between rounds there is a backoff with jitter, since many instances fail at the same time.
 //
 // Index of this file:
 // [SECTION] Steps
 // [SECTION] Rounds
-// [SECTION] What sources say
+// [SECTION] Answers of sources
 // [SECTION] Settings and start
 // [SECTION] Fan-out
 
@@ -28,12 +28,12 @@
     return names[reason];
 }
 
-static TimeUs UpTo(TimeUs most, Random* random)
+static TimeUs RandomUpTo(TimeUs most, Random* random)
 {
     return std::uniform_int_distribution<TimeUs>(0, most)(*random);
 }
 
-static const std::string& Drawn(const std::vector<std::string>& addresses, Random* random)
+static const std::string& RandomAddress(const std::vector<std::string>& addresses, Random* random)
 {
     return addresses[std::uniform_int_distribution<size_t>(0, addresses.size() - 1)(*random)];
 }
@@ -59,8 +59,8 @@
     return step;
 }
 
-// The same source again.
-static FollowStep Again(const FollowStep& now)
+// The next call to the same source.
+static FollowStep NextCall(const FollowStep& now)
 {
     FollowStep step;
     step.Kind = now.Kind;
@@ -73,9 +73,9 @@
 // [SECTION] Rounds
 //-----------------------------------------------------------------------------
 
-// Where the store stands in the round of a first contact: behind those that read rather than it does. At the start it comes first, so
-// that a fleet in which one of them is missing loses no time.
-static size_t StorePlace(const Follow& follow)
+// Index of the store in the round of a seed: after the seeds that take precedence. Before the first data it is the first, so that no time
+// is lost when one of these seeds is down.
+static size_t StoreIndex(const Follow& follow)
 {
     return follow.At == 0 ? 0 : follow.Rank;
 }
@@ -91,7 +91,7 @@
     {
         return InstanceStep(follow, SourceKind_Contact, follow.Contacts[place]);
     }
-    const size_t store = StorePlace(follow);
+    const size_t store = StoreIndex(follow);
     if (place == store)
     {
         const bool first = follow.RoundsInRow == 0;
@@ -99,7 +99,7 @@
         return StoreStep(follow, first ? usual : StoreReason_Retry);
     }
     FollowStep step = InstanceStep(follow, SourceKind_Contact, follow.Contacts[place < store ? place : place - 1]);
-    step.Lost = follow.At == 0; // We have asked the store in vain: one that knows as little is no help.
+    step.Lost = follow.At == 0; // Without data: the store, which comes first, has failed.
     return step;
 }
 
@@ -114,8 +114,8 @@
     follow->Sent = false;
 }
 
-// The preferred source from now on: a first contact's is the first of its round, others keep to the one that they used.
-static void BeginAtPreferred(Follow* follow)
+// Restarts at the preferred source: the first of the round for a seed, the seed used last for other instances.
+static void RestartRound(Follow* follow)
 {
     BeginRound(follow);
     follow->Place = follow->Reads ? 0 : follow->Place % RoundLength(*follow);
@@ -127,24 +127,24 @@
     const FollowConfig& config = follow.Config;
     if (!follow.Reads)
     {
-        return config.PeerRetryUs + UpTo(config.PeerRetryUs, random);
+        return config.PeerRetryUs + RandomUpTo(config.PeerRetryUs, random);
     }
-    constexpr int doublings_most = 8;
-    const int doublings = std::min(follow.RoundsInRow - 1, doublings_most);
+    constexpr int doublings_max = 8;
+    const int doublings = std::min(follow.RoundsInRow - 1, doublings_max);
     const TimeUs pause = std::min(config.RetryMostUs, config.RetryUs << doublings);
-    return pause / 2 + UpTo(pause / 2, random);
+    return pause / 2 + RandomUpTo(pause / 2, random);
 }
 
-// Whether an instance that no other answers asks the store now.
-static bool GoesAlone(Follow* follow, TimeUs now, Random* random)
+// Whether an instance without any answering source falls back to the store now.
+static bool FallsBackToStore(Follow* follow, TimeUs now, Random* random)
 {
     const bool old = now >= std::max(follow->FreshUs, follow->StartedUs) + follow->Config.AloneUs;
     if (follow->Reads || follow->ToldLost || !old)
     {
         return false;
     }
-    constexpr int doublings_most = 30;
-    const int odds = std::max(1, follow->Config.AloneOdds >> std::min(follow->AloneRounds, doublings_most));
+    constexpr int doublings_max = 30;
+    const int odds = std::max(1, follow->Config.AloneOdds >> std::min(follow->AloneRounds, doublings_max));
     follow->AloneRounds++;
     return std::uniform_int_distribution<int>(1, odds)(*random) == 1;
 }
@@ -154,36 +154,35 @@
     const bool from_store = follow->LeftStore && !follow->Reads;
     const bool still_fresh = now < follow->FreshUs + follow->Config.AloneUs;
     const bool back_to_store = from_store && !still_fresh;
-    const bool alone = !from_store && GoesAlone(follow, now, random);
+    const bool fallback = !from_store && FallsBackToStore(follow, now, random);
     follow->RoundsInRow++;
     BeginRound(follow);
     follow->LeftStore = from_store && still_fresh;
-    if (back_to_store || alone)
+    if (back_to_store || fallback)
     {
         follow->Next = StoreStep(*follow, back_to_store ? StoreReason_Wait : StoreReason_Alone);
         return;
     }
-    // A first contact looks at its fellows before it asks the store again: they may have it back by now, and a silent store costs 0.5 s.
-    follow->Place = follow->Reads ? (StorePlace(*follow) + 1) % RoundLength(*follow) : follow->Place;
+    // A seed tries the other seeds before the store: they may have reached it by now, and a store that does not answer costs a timeout.
+    follow->Place = follow->Reads ? (StoreIndex(*follow) + 1) % RoundLength(*follow) : follow->Place;
     follow->Next = StepAt(*follow, follow->Place);
     follow->Next.PauseUs = PauseAfterRound(*follow, random);
 }
 
-// Whether callers wait for what we don't know, and the first contact that was asked is no help. After a loss of power of all, first
-// contacts come back up to 0.4 s after the others. With 18 instances 0.62 instead of 0.53 of the requests of the worst two windows of 2 s
-// are then served in time, for a call each; with 473 it is 0.61 instead of 0.60, for 295 calls.
-static bool GoesForCallers(const Follow& follow)
+// Whether to ask the store because callers wait for the first data and a source has failed to provide it. After a power loss the seeds may
+// start later than other instances.
+static bool AsksStoreForCallers(const Follow& follow)
 {
     return follow.Needed && follow.At == 0 && follow.Tried > 0 && !follow.Reads && follow.Next.Kind != SourceKind_Store;
 }
 
-// The next source of the round; `now` is when the last one proved to be no good.
-static void MoveOn(Follow* follow, TimeUs now, Random* random)
+// Goes to the next source of the round; `now` is the time at which the current one proved unusable.
+static void TryNextSource(Follow* follow, TimeUs now, Random* random)
 {
     follow->KeptUntilUs = 0;
     follow->Sent = false;
     follow->Tried++;
-    if (GoesForCallers(*follow))
+    if (AsksStoreForCallers(*follow))
     {
         follow->Next = StoreStep(*follow, StoreReason_Alone);
         return;
@@ -195,11 +194,11 @@
         follow->Next = StepAt(*follow, follow->Place);
         return;
     }
-    const int others_most = follow->Reads && follow->RoundsInRow == 0 ? follow->Config.FirstLeadsMost : 1;
-    if (follow->TriedOthers < others_most && !follow->Known.empty())
+    const int others_max = follow->Reads && follow->RoundsInRow == 0 ? follow->Config.FirstLeadsMost : 1;
+    if (follow->TriedOthers < others_max && !follow->Known.empty())
     {
         follow->TriedOthers++;
-        follow->Next = InstanceStep(*follow, SourceKind_Instance, Drawn(follow->Known, random));
+        follow->Next = InstanceStep(*follow, SourceKind_Instance, RandomAddress(follow->Known, random));
         follow->Next.Lead = follow->Reads;
         return;
     }
@@ -207,26 +206,26 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] What sources say
+// [SECTION] Answers of sources
 //-----------------------------------------------------------------------------
 
-// When a source that is in use though it is not the preferred one is left again.
-static TimeUs ReturnTime(const Follow& follow, TimeUs now, Random* random)
+// When to try the preferred source again; 0 if the current one is preferred or was named in a redirect.
+static TimeUs FailbackTime(const Follow& follow, TimeUs now, Random* random)
 {
     const FollowStep first = StepAt(follow, 0);
     const bool is_first = follow.Next.Kind == first.Kind && follow.Next.Address == first.Address;
     const bool preferred = follow.Reads ? is_first : follow.Next.Kind == SourceKind_Contact;
-    const bool alone = !follow.Reads && follow.Next.Kind == SourceKind_Store;
-    if (alone && follow.Needed)
+    const bool fallback = !follow.Reads && follow.Next.Kind == SourceKind_Store;
+    if (fallback && follow.Needed)
     {
-        return now; // Its callers are served; the first contacts will be back.
+        return now; // The waiting callers can be served now; go back to the seeds at once.
     }
-    const TimeUs until = alone ? follow.Config.AloneReturnUs : follow.Config.ReturnUs;
-    return preferred || follow.Sent ? 0 : now + until + UpTo(until / 2, random);
+    const TimeUs until = fallback ? follow.Config.AloneReturnUs : follow.Config.ReturnUs;
+    return preferred || follow.Sent ? 0 : now + until + RandomUpTo(until / 2, random);
 }
 
-// Where the present source stands in the round; the place stays if it does not.
-static size_t PlaceInUse(const Follow& follow)
+// Index of the current source in the round; unchanged if it is not part of the round.
+static size_t CurrentPlace(const Follow& follow)
 {
     for (size_t place = 0; place < RoundLength(follow); place++)
     {
@@ -239,7 +238,7 @@
     return follow.Place;
 }
 
-static void HeardGood(Follow* follow, const SourceNews& news, TimeUs now, Random* random)
+static void OnGoodAnswer(Follow* follow, const SourceNews& news, TimeUs now, Random* random)
 {
     const bool from_store = follow->Next.Kind == SourceKind_Store;
     follow->Origin = from_store ? follow->Own : news.Origin;
@@ -251,33 +250,33 @@
     follow->LeftStore = false;
     follow->KeptUntilUs = 0;
     follow->StoreTimeouts = from_store ? 0 : follow->StoreTimeouts;
-    follow->Place = PlaceInUse(*follow);
-    follow->ReturnAtUs = follow->ReturnAtUs == 0 ? ReturnTime(*follow, now, random) : follow->ReturnAtUs;
+    follow->Place = CurrentPlace(*follow);
+    follow->ReturnAtUs = follow->ReturnAtUs == 0 ? FailbackTime(*follow, now, random) : follow->ReturnAtUs;
     follow->Needed = false;
     if (follow->ReturnAtUs != 0 && now >= follow->ReturnAtUs)
     {
-        BeginAtPreferred(follow);
+        RestartRound(follow);
         follow->LeftStore = from_store;
         return;
     }
-    follow->Next = Again(follow->Next);
+    follow->Next = NextCall(follow->Next);
 }
 
-// An instance that was no help; it is remembered again when it next asks us.
-static void Forget(Follow* follow, const std::string& address)
+// Removes an unusable instance from the known ones. FollowMet() adds it again.
+static void ForgetInstance(Follow* follow, const std::string& address)
 {
     std::vector<std::string>& known = follow->Known;
     known.erase(std::remove(known.begin(), known.end(), address), known.end());
 }
 
-// The source has lost the store, and somebody looks after that: it is kept for a moment, and then the others are looked at once.
-static void HeardLost(Follow* follow, TimeUs now, Random* random)
+// The source has lost the store, and the store is being retried: keeps the source for a grace period, then tries the others.
+static void OnStoreLost(Follow* follow, TimeUs now, Random* random)
 {
     follow->ToldLost = true;
     if (follow->Reads)
     {
-        Forget(follow, follow->Next.Address); // One that has asked the store for us in vain is not asked again soon.
-        MoveOn(follow, now, random);
+        ForgetInstance(follow, follow->Next.Address); // Don't delegate to the same instance again.
+        TryNextSource(follow, now, random);
         return;
     }
     const FollowConfig& config = follow->Config;
@@ -285,30 +284,29 @@
     const bool last = follow->Tried + 1 >= RoundLength(*follow);
     if (follow->KeptUntilUs == 0 && looking && !last)
     {
-        MoveOn(follow, now, random);
+        TryNextSource(follow, now, random);
         return;
     }
     if (follow->KeptUntilUs == 0)
     {
         const bool soon = !looking && follow->Next.Kind == SourceKind_Contact;
         const TimeUs patience = soon ? config.PatienceUs : config.LostUs;
-        follow->KeptUntilUs = now + patience + UpTo(patience, random);
+        follow->KeptUntilUs = now + patience + RandomUpTo(patience, random);
         follow->Tried = 0;
     }
     if (now >= follow->KeptUntilUs)
     {
         follow->Tried = follow->Next.Kind == SourceKind_Contact ? 0 : follow->Tried;
-        MoveOn(follow, now, random);
+        TryNextSource(follow, now, random);
         return;
     }
-    follow->Next = Again(follow->Next);
+    follow->Next = NextCall(follow->Next);
     follow->Next.Lost = true;
     follow->Next.WaitMostUs = follow->KeptUntilUs - now;
 }
 
-// Whether another instance than the first contacts, asked because none of those is good, is a better source than what we have. One that
-// knows no more than we do may be our own follower. Of those that read the store by themselves, the one of the lowest address goes on: two
-// can't leave it for each other.
+// Whether an instance that is no seed is a better source than the current one. An instance that is not fresher may be a follower of this
+// one. Of the instances that fell back to the store, the one with the lowest address keeps reading it, so that no two follow each other.
 static bool IsBetter(const Follow& follow, const SourceNews& news, TimeUs now)
 {
     if (follow.LeftStore)
@@ -323,7 +321,7 @@
     assert(follow->Next.Kind != SourceKind_None && "call FollowStart() first");
     const bool from_store = follow->Next.Kind == SourceKind_Store;
     const bool ours = !from_store && !follow->Own.empty() && news.Origin == follow->Own;
-    const bool forgotten = news.Trouble && news.TriedUs > follow->Config.AskedUs;
+    const bool not_retried = news.Trouble && news.TriedUs > follow->Config.AskedUs;
     const bool old = !news.Trouble && news.AgeUs > follow->Config.StaleUs;
     if (news.At < follow->At)
     {
@@ -332,10 +330,10 @@
     }
     const bool any = follow->TriedOthers == 0 || follow->Next.Lead || follow->At == 0;
     const bool better = any || IsBetter(*follow, news, now);
-    const bool knows_less = !better || (news.Trouble && follow->LeftStore);
+    const bool is_behind = !better || (news.Trouble && follow->LeftStore);
     follow->At = news.At;
     follow->FreshUs = std::max(follow->FreshUs, now - news.AgeUs);
-    if (knows_less || forgotten || old)
+    if (is_behind || not_retried || old)
     {
         FollowFailed(follow, false, now, random);
         return FollowVerdict_Behind;
@@ -347,10 +345,10 @@
     }
     if (news.Trouble)
     {
-        HeardLost(follow, now, random);
+        OnStoreLost(follow, now, random);
         return FollowVerdict_Lost;
     }
-    HeardGood(follow, news, now, random);
+    OnGoodAnswer(follow, news, now, random);
     return FollowVerdict_Good;
 }
 
@@ -361,20 +359,20 @@
     {
         follow->StoreTimeouts = late ? follow->StoreTimeouts + 1 : 0;
         follow->AloneRounds = 0;
-        follow->Needed = false; // Until more callers wait: a store that is away must not be asked by everybody again and again.
+        follow->Needed = false; // Set again when more callers wait. Limits the calls to an unavailable store.
     }
-    Forget(follow, failed.Address);
+    ForgetInstance(follow, failed.Address);
     if (follow->Sent)
     {
-        // Back to the first contact at which the round stands: it sends us elsewhere.
+        // Back to the current seed of the round, which redirects to another instance.
         follow->Sent = false;
         follow->Next = StepAt(*follow, follow->Place);
-        follow->Next.PauseUs = UpTo(follow->Config.PeerRetryUs, random);
+        follow->Next.PauseUs = RandomUpTo(follow->Config.PeerRetryUs, random);
         return;
     }
-    const bool off_the_round = !follow->Reads && failed.Kind == SourceKind_Store;
-    follow->Tried = off_the_round ? 0 : follow->Tried; // The first contacts but the one that asked us are looked at once.
-    MoveOn(follow, now, random);
+    const bool was_fallback = !follow->Reads && failed.Kind == SourceKind_Store;
+    follow->Tried = was_fallback ? 0 : follow->Tried; // Try the seeds, except the current one, before the next pause.
+    TryNextSource(follow, now, random);
 }
 
 void FollowSentOn(Follow* follow, const std::vector<std::string>& addresses, Random* random)
@@ -388,7 +386,7 @@
     follow->ReturnAtUs = 0;
     FollowStep step;
     step.Kind = SourceKind_Instance;
-    step.Address = Drawn(addresses, random);
+    step.Address = RandomAddress(addresses, random);
     follow->Next = step;
 }
 
@@ -408,7 +406,7 @@
 bool FollowNeeded(Follow* follow)
 {
     follow->Needed = true;
-    if (!GoesForCallers(*follow))
+    if (!AsksStoreForCallers(*follow))
     {
         return false;
     }
@@ -425,7 +423,7 @@
     {
         return;
     }
-    Forget(follow, address);
+    ForgetInstance(follow, address);
     std::vector<std::string>& known = follow->Known;
     if (known.size() >= follow->Config.KnownMost)
     {
@@ -438,9 +436,9 @@
 // [SECTION] Settings and start
 //-----------------------------------------------------------------------------
 
-// First contacts but us, in the order in which they are tried. They themselves must agree on who reads, whatever the order of their
-// settings; others begin with different ones.
-static std::vector<std::string> InOrder(std::vector<std::string> sorted, const std::string& own, bool reads, Random* random)
+// Seeds other than this instance, in the order in which they are tried. Seeds use the sorted order, so that they agree on which of them
+// reads the store; all other instances shuffle it to spread the load.
+static std::vector<std::string> SeedOrder(std::vector<std::string> sorted, const std::string& own, bool reads, Random* random)
 {
     sorted.erase(std::remove(sorted.begin(), sorted.end(), own), sorted.end());
     if (!reads)
@@ -468,26 +466,26 @@
     follow->Named = sorted;
     follow->Reads = self != sorted.end() || sorted.empty();
     follow->Rank = self != sorted.end() ? static_cast<size_t>(self - sorted.begin()) : 0;
-    follow->Contacts = InOrder(sorted, own, follow->Reads, random);
+    follow->Contacts = SeedOrder(sorted, own, follow->Reads, random);
     follow->Place = 0;
     follow->Tried = 0;
-    const bool look_soon = follow->Next.Kind != SourceKind_None && (read || follow->Reads);
-    follow->ReturnAtUs = look_soon ? 1 : 0; // Another source may be the preferred one now.
+    const bool recheck = follow->Next.Kind != SourceKind_None && (read || follow->Reads);
+    follow->ReturnAtUs = recheck ? 1 : 0; // Reconsider the preferred source at the next good answer.
 }
 
 void FollowStart(Follow* follow, TimeUs now)
 {
     assert(!follow->StoreAddress.empty() && "call FollowSetSources() first");
     follow->StartedUs = now;
-    BeginAtPreferred(follow);
+    RestartRound(follow);
 }
 
 //-----------------------------------------------------------------------------
 // [SECTION] Fan-out
 //-----------------------------------------------------------------------------
 
-// Some of them, by chance, but not the one that asks.
-static std::vector<std::string> Named(std::vector<std::string> addresses, const std::string& asker, size_t most, Random* random)
+// A random selection of the addresses, without the requester's.
+static std::vector<std::string> PickRandom(std::vector<std::string> addresses, const std::string& asker, size_t most, Random* random)
 {
     const auto unfit = [&](const std::string& address)
     {
@@ -499,23 +497,24 @@
     return addresses;
 }
 
-// Those in the asker's own data centre, if there are any.
-static std::vector<std::string> NamedBeside(const std::vector<std::string>& beside, const std::vector<std::string>& all,
-                                            const std::string& asker, size_t most, Random* random)
+// The same, preferring the requester's data centre.
+static std::vector<std::string> PickNearby(const std::vector<std::string>& beside, const std::vector<std::string>& all,
+                                           const std::string& asker, size_t most, Random* random)
 {
-    std::vector<std::string> named = Named(beside, asker, most, random);
-    return named.empty() ? Named(all, asker, most, random) : named;
+    std::vector<std::string> named = PickRandom(beside, asker, most, random);
+    return named.empty() ? PickRandom(all, asker, most, random) : named;
 }
 
-// Whether the asker is in another data centre than we, where others that follow us can serve it.
-static bool IsServedThere(const FanoutConfig& config, const NewsAsker& asker, const NewsHolder& holder, size_t beside)
+// Whether the requester is in another data centre in which enough followers of this instance can serve it.
+static bool IsServedInOwnDataCentre(const FanoutConfig& config, const NewsAsker& asker, const NewsHolder& holder, size_t beside)
 {
     const bool far = !asker.DataCentre.empty() && !holder.DataCentre.empty() && asker.DataCentre != holder.DataCentre;
     return far && !asker.Contact && beside >= config.FarMost;
 }
 
-// An instance wants everything: whom it should ask instead; nobody if it is to be served here.
-static std::vector<std::string> ForStart(Fanout* fanout, const NewsAsker& asker, const NewsHolder& holder, TimeUs now, Random* random)
+// Handles a full read. Returns the addresses to redirect to; empty if it is served here.
+static std::vector<std::string> RedirectFullRead(Fanout* fanout, const NewsAsker& asker, const NewsHolder& holder, TimeUs now,
+                                                 Random* random)
 {
     std::deque<FanoutStart>& starts = fanout->Starts;
     while (!starts.empty() && now >= starts.front().ServedUs + fanout->Config.StartUs)
@@ -533,11 +532,12 @@
         }
     }
     const bool again = !asker.Address.empty() && std::find(served.begin(), served.end(), asker.Address) != served.end();
-    const bool elsewhere = starts.size() >= fanout->Config.StartsMost || IsServedThere(fanout->Config, asker, holder, beside.size());
+    const bool elsewhere =
+        starts.size() >= fanout->Config.StartsMost || IsServedInOwnDataCentre(fanout->Config, asker, holder, beside.size());
     std::vector<std::string> named;
     if (!again && elsewhere)
     {
-        named = NamedBeside(beside, served, asker.Address, fanout->Config.NamedMost, random);
+        named = PickNearby(beside, served, asker.Address, fanout->Config.NamedMost, random);
     }
     if (named.empty())
     {
@@ -546,16 +546,16 @@
     return named;
 }
 
-// Whether there is something new to one that asks.
-static bool HasNews(const NewsAsker& asker, const NewsHolder& holder)
+// Whether the requester is to be answered at once.
+static bool AnswersNow(const NewsAsker& asker, const NewsHolder& holder)
 {
-    const bool both_lost = holder.At == 0 && holder.Lost && asker.Lost; // It can't wait for one that is as badly off.
+    const bool both_lost = holder.At == 0 && holder.Lost && asker.Lost; // Waiting here would be pointless.
     if (asker.Everything)
     {
         return holder.At != 0 || both_lost;
     }
-    const bool news_of_loss = holder.Lost != asker.Lost;               // That the store is lost, or found again.
-    return holder.At == 0 || asker.After != holder.At || news_of_loss; // One that is ahead of us finds another source.
+    const bool loss_changed = holder.Lost != asker.Lost;               // The state of the store has changed.
+    return holder.At == 0 || asker.After != holder.At || loss_changed; // A requester that is ahead is answered too, so that it leaves.
 }
 
 NewsAnswer FanoutAsked(Fanout* fanout, const NewsAsker& asker, const NewsHolder& holder, TimeUs now, Random* random)
@@ -565,20 +565,20 @@
         return {NewsVerdict_Lead, {}};
     }
     const bool full = holder.Followers.size() >= fanout->Config.FollowersMost;
-    std::vector<std::string> named; // None while the store is lost: that must be heard from us.
+    std::vector<std::string> named; // Empty while the store is lost: followers must get that from here.
     if (asker.Everything)
     {
-        named = ForStart(fanout, asker, holder, now, random);
+        named = RedirectFullRead(fanout, asker, holder, now, random);
     }
-    else if (!holder.Lost && (full || IsServedThere(fanout->Config, asker, holder, holder.Beside.size())))
+    else if (!holder.Lost && (full || IsServedInOwnDataCentre(fanout->Config, asker, holder, holder.Beside.size())))
     {
-        named = NamedBeside(holder.Beside, holder.Followers, asker.Address, fanout->Config.NamedMost, random);
+        named = PickNearby(holder.Beside, holder.Followers, asker.Address, fanout->Config.NamedMost, random);
     }
     if (!named.empty())
     {
         return {NewsVerdict_SendOn, std::move(named)};
     }
-    return {HasNews(asker, holder) ? NewsVerdict_Answer : NewsVerdict_Hold, {}};
+    return {AnswersNow(asker, holder) ? NewsVerdict_Answer : NewsVerdict_Hold, {}};
 }
 
 } // namespace Winchlink
