--- a/gateway/relay.cpp
+++ b/gateway/relay.cpp
@@ -1,9 +1,9 @@
-// relay.cpp: what one instance knows of the store, handed on to others.
+// relay.cpp: serves an instance's copy of the store's items to other instances.
 //
 // Index of this file:
 // [SECTION] Messages
 // [SECTION] Answers
-// [SECTION] What the reader has learnt
+// [SECTION] Updates from the source
 // [SECTION] Start
 
 #include "relay.h"
@@ -19,12 +19,12 @@
 namespace Winchlink
 {
 
-static constexpr size_t MessageMost = 32 * MiB;        // Decoded; a store of 6,600 targets is some 3 MB.
-static constexpr int CompressionLevel = 1;             // Routes repeat themselves so much that more gains little.
-static constexpr int HistoryGone = 410;                // Status: the follower must read everything; the store says it so too.
-static constexpr int NothingKnown = 503;               // Status: we know nothing ourselves.
-static constexpr TimeUs HoldMostUs = 500 * UsPerMs;    // One that wants everything from one that knows nothing waits so long for it.
-static constexpr TimeUs WaitMostUs = 10 * UsPerSecond; // A follower that asks for more waits so long.
+static constexpr size_t MessageBytesMax = 32 * MiB;     // Bytes of a decoded message.
+static constexpr int CompressionLevel = 1;              // Fastest: the data is repetitive, so higher levels save little.
+static constexpr int HistoryGoneStatus = 410;           // Status: changes are no longer kept; a full read is needed. As the store's.
+static constexpr int NoDataStatus = 503;                // Status: this instance has no data.
+static constexpr TimeUs FullReadHoldUs = 500 * UsPerMs; // Wait that a full read asks for; it applies at an instance without data.
+static constexpr TimeUs HoldMaxUs = 10 * UsPerSecond;   // Longest hold of any request.
 
 //-----------------------------------------------------------------------------
 // [SECTION] Messages
@@ -39,8 +39,8 @@
     return out;
 }
 
-// Items by themselves: the size of their code, and the code compressed. Nothing for no items.
-static std::string Pack(const std::vector<StoreItem>& items)
+// Encodes items: their size when decoded, then the compressed bytes. Empty if there are no items.
+static std::string PackItems(const std::vector<StoreItem>& items)
 {
     if (items.empty())
     {
@@ -57,7 +57,7 @@
     return Error{Code_MessageMalformed, why};
 }
 
-static Result<std::vector<StoreItem>> Unpack(const std::string& packed)
+static Result<std::vector<StoreItem>> UnpackItems(const std::string& packed)
 {
     std::vector<StoreItem> items;
     if (packed.empty())
@@ -66,27 +66,27 @@
     }
     if (packed.size() < NumberBytes)
     {
-        return Malformed("too short");
+        return Malformed("items too short");
     }
     uLongf size = NumberAt(packed, 0);
-    if (size > MessageMost)
+    if (size > MessageBytesMax)
     {
-        return Malformed("too large");
+        return Malformed("items too large");
     }
     std::string plain(size, '\0');
     const auto* bytes = reinterpret_cast<const Bytef*>(packed.data() + NumberBytes);
     if (uncompress(reinterpret_cast<Bytef*>(plain.data()), &size, bytes, packed.size() - NumberBytes) != Z_OK || size != plain.size())
     {
-        return Malformed("not compressed as it says");
+        return Malformed("items do not decompress to the stated size");
     }
     if (!DecodeMessage(plain, &items))
     {
-        return Malformed("not coded as it should be");
+        return Malformed("items can't be decoded");
     }
     return items;
 }
 
-// The sizes of the head and of the packed items, the head's checksum (the items' is zlib's), and then these two.
+// Message format: size of the head, size of the packed items, checksum of the head (zlib checks the items), head, packed items.
 static std::string EncodePacked(const StorePage& head, const std::string& packed)
 {
     const std::string coded = EncodeMessage(head);
@@ -99,7 +99,7 @@
 
 std::string EncodePage(const StorePage& page)
 {
-    return EncodePacked(page, Pack(page.Items));
+    return EncodePacked(page, PackItems(page.Items));
 }
 
 Result<StorePage> DecodePage(const std::string& bytes)
@@ -107,21 +107,21 @@
     constexpr size_t sizes = 3 * NumberBytes;
     if (bytes.size() < sizes)
     {
-        return Malformed("too short");
+        return Malformed("message too short");
     }
     const size_t head_size = NumberAt(bytes, 0);
     if (bytes.size() != sizes + head_size + NumberAt(bytes, NumberBytes))
     {
-        return Malformed("not as long as it says");
+        return Malformed("length differs from the stated sizes");
     }
     StorePage page;
     const std::string head = bytes.substr(sizes, head_size);
     if (Checksum(head) != NumberAt(bytes, 2 * NumberBytes) || !DecodeMessage(head, &page))
     {
-        return Malformed("not coded as it should be");
+        return Malformed("message head has a wrong checksum or can't be decoded");
     }
     page.Packed = bytes.substr(sizes + head_size);
-    Result<std::vector<StoreItem>> items = Unpack(page.Packed);
+    Result<std::vector<StoreItem>> items = UnpackItems(page.Packed);
     if (!items)
     {
         return items.error();
@@ -130,7 +130,7 @@
     return page;
 }
 
-static std::string Remarks(const FollowStep& step)
+static std::string QueryFlags(const FollowStep& step)
 {
     return std::string(step.Lead ? "&lead=1" : "") + (step.Lost ? "&lost=1" : "");
 }
@@ -142,14 +142,14 @@
     StoreDialect dialect;
     dialect.PageTarget = [who](const std::string&)
     {
-        return fmt::format("/items?waitMs={}&{}", HoldMostUs / UsPerMs, who);
+        return fmt::format("/items?waitMs={}&{}", FullReadHoldUs / UsPerMs, who);
     };
     dialect.ChangesTarget = [who](uint64_t after, TimeUs wait)
     {
         return fmt::format("/changes?after={}&waitMs={}&{}", after, wait / UsPerMs, who);
     };
-    dialect.Remarks = Remarks;
-    dialect.HistoryGoneStatus = HistoryGone;
+    dialect.Remarks = QueryFlags;
+    dialect.HistoryGoneStatus = HistoryGoneStatus;
     dialect.ReadPage = DecodePage;
     dialect.ReadChanges = DecodePage;
     return dialect;
@@ -191,10 +191,10 @@
             items.push_back(change);
         }
     }
-    return Pack(items);
+    return PackItems(items);
 }
 
-static void AnswerAll(Relay* relay, const ExchangePtr& call)
+static void AnswerFullRead(Relay* relay, const ExchangePtr& call)
 {
     if (relay->AllAt != relay->At)
     {
@@ -203,7 +203,7 @@
         {
             items.push_back(entry.second);
         }
-        relay->All = Pack(items);
+        relay->All = PackItems(items);
         relay->AllAt = relay->At;
     }
     ReplyPage(call, MakeHead(*relay), relay->All);
@@ -226,38 +226,38 @@
     ReplyPage(call, MakeHead(*relay), relay->Packed);
 }
 
-// Answers one that waits, or that need not wait, by what is known now.
+// Answers a request with the current data.
 static void Answer(Relay* relay, const RelayWait& wait)
 {
     if (relay->At == 0)
     {
-        ReplyStatus(wait.From, NothingKnown);
+        ReplyStatus(wait.From, NoDataStatus);
         return;
     }
     if (wait.Asker.Everything)
     {
-        AnswerAll(relay, wait.From);
+        AnswerFullRead(relay, wait.From);
         return;
     }
     if (wait.Asker.After < relay->ChangesFrom)
     {
-        ReplyStatus(wait.From, HistoryGone);
+        ReplyStatus(wait.From, HistoryGoneStatus);
         return;
     }
     AnswerChanges(relay, wait.From, wait.Asker.After);
 }
 
-static void EndWait(Relay* relay, uint64_t id)
+static void AnswerHeld(Relay* relay, uint64_t id)
 {
     RelayWait wait = std::move(relay->Waits.at(id));
     relay->Waits.erase(id);
     Answer(relay, wait);
 }
 
-static void BeginWait(Relay* relay, RelayWait wait, TimeUs most)
+static void HoldRequest(Relay* relay, RelayWait wait, TimeUs most)
 {
     const uint64_t id = ++relay->LastWait;
-    wait.End = TimerStart(relay->Loop, std::min(most, WaitMostUs), [relay, id]() { EndWait(relay, id); });
+    wait.End = TimerStart(relay->Loop, std::min(most, HoldMaxUs), [relay, id]() { AnswerHeld(relay, id); });
     wait.From->OnGone = [relay, id]()
     {
         relay->Waits.erase(id);
@@ -265,20 +265,20 @@
     relay->Waits[id] = std::move(wait);
 }
 
-static uint64_t NumberIn(const std::string& target, const std::string& key)
+static uint64_t QueryNumber(const std::string& target, const std::string& key)
 {
     return std::strtoull(QueryValue(target, key).c_str(), nullptr, 10);
 }
 
-// Where a follower can be followed itself; empty if it does not say.
-static std::string FollowerIn(const std::string& target)
+// The address at which a follower can be followed itself; empty if it sent none.
+static std::string FollowerAddress(const std::string& target)
 {
     const std::string address = QueryValue(target, "from");
     return IsAddress(address) ? address : "";
 }
 
-// What we know, to one that asks.
-static NewsHolder HolderFor(const Relay& relay, const NewsAsker& asker)
+// State of this instance for FanoutAsked().
+static NewsHolder RelayState(const Relay& relay, const NewsAsker& asker)
 {
     NewsHolder holder;
     holder.At = relay.At;
@@ -296,14 +296,14 @@
     return holder;
 }
 
-static void SendOn(const Relay& relay, const ExchangePtr& call, std::vector<std::string> elsewhere)
+static void Redirect(const Relay& relay, const ExchangePtr& call, std::vector<std::string> elsewhere)
 {
     StorePage head = MakeHead(relay);
     head.Elsewhere = std::move(elsewhere);
     ReplyPage(call, head, "");
 }
 
-static void OnCall(Relay* relay, const ExchangePtr& call)
+static void OnRequest(Relay* relay, const ExchangePtr& call)
 {
     if (relay->OnEnds && call->Target == TargetEndsTarget)
     {
@@ -312,29 +312,29 @@
     }
     RelayWait wait;
     wait.From = call;
-    wait.Asker.Address = FollowerIn(call->Target);
+    wait.Asker.Address = FollowerAddress(call->Target);
     wait.Asker.Everything = call->Target.rfind("/items", 0) == 0;
-    wait.Asker.After = NumberIn(call->Target, "after");
-    wait.Asker.Lead = relay->OnLead && NumberIn(call->Target, "lead") != 0;
-    wait.Asker.Lost = NumberIn(call->Target, "lost") != 0;
+    wait.Asker.After = QueryNumber(call->Target, "after");
+    wait.Asker.Lead = relay->OnLead && QueryNumber(call->Target, "lead") != 0;
+    wait.Asker.Lost = QueryNumber(call->Target, "lost") != 0;
     if (!wait.Asker.Address.empty() && relay->OnMet)
     {
         relay->OnMet(wait.Asker.Address);
     }
     wait.Asker.DataCentre = QueryValue(call->Target, "dataCentre");
-    wait.Asker.Contact = NumberIn(call->Target, "contact") != 0;
-    const NewsAnswer answer = FanoutAsked(&relay->Spread, wait.Asker, HolderFor(*relay, wait.Asker), NowUs(), relay->Rng);
+    wait.Asker.Contact = QueryNumber(call->Target, "contact") != 0;
+    const NewsAnswer answer = FanoutAsked(&relay->Spread, wait.Asker, RelayState(*relay, wait.Asker), NowUs(), relay->Rng);
     switch (answer.Verdict)
     {
     case NewsVerdict_SendOn:
-        SendOn(*relay, call, answer.Elsewhere);
+        Redirect(*relay, call, answer.Elsewhere);
         return;
     case NewsVerdict_Lead:
-        BeginWait(relay, std::move(wait), WaitMostUs);
+        HoldRequest(relay, std::move(wait), HoldMaxUs);
         relay->OnLead();
         return;
     case NewsVerdict_Hold:
-        BeginWait(relay, std::move(wait), static_cast<TimeUs>(NumberIn(call->Target, "waitMs")) * UsPerMs);
+        HoldRequest(relay, std::move(wait), static_cast<TimeUs>(QueryNumber(call->Target, "waitMs")) * UsPerMs);
         return;
     default:
         Answer(relay, wait);
@@ -343,7 +343,7 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] What the reader has learnt
+// [SECTION] Updates from the source
 //-----------------------------------------------------------------------------
 
 std::vector<std::string> RelayFollowers(const Relay& relay)
@@ -359,8 +359,8 @@
     return followers;
 }
 
-// Takes all waits out and answers each: answering may bring new calls.
-static void EndWaits(Relay* relay, const std::function<bool(const RelayWait&)>& ends)
+// Answers the held requests that match. Their ids are collected first, as answering may add or remove held requests.
+static void AnswerHeldIf(Relay* relay, const std::function<bool(const RelayWait&)>& ends)
 {
     std::vector<uint64_t> ending;
     for (const auto& entry : relay->Waits)
@@ -374,27 +374,27 @@
     {
         if (relay->Waits.count(id) > 0)
         {
-            EndWait(relay, id);
+            AnswerHeld(relay, id);
         }
     }
 }
 
-// When what we know was known to be the store's state.
-static TimeUs FreshUs(const Relay& relay)
+// Time as of which the data was known to be current.
+static TimeUs DataTimeUs(const Relay& relay)
 {
     return NowUs() - (relay.Age ? relay.Age() : 0);
 }
 
-// Those for which we ask the store are told when it has answered.
-static void TellFollowers(Relay* relay)
+// Answers all held requests, except those on whose behalf the store is being asked, and full reads while there is no data.
+static void AnswerFollowers(Relay* relay)
 {
     relay->ToldUs = NowUs();
-    relay->ToldFreshUs = FreshUs(*relay);
-    EndWaits(relay, [relay](const RelayWait& wait) { return !wait.Asker.Lead && (!wait.Asker.Everything || relay->At != 0); });
+    relay->ToldFreshUs = DataTimeUs(*relay);
+    AnswerHeldIf(relay, [relay](const RelayWait& wait) { return !wait.Asker.Lead && (!wait.Asker.Everything || relay->At != 0); });
 }
 
-// What differs between what was known and everything as of a later revision.
-static std::vector<StoreItem> Differences(const Relay& relay, const std::vector<StoreItem>& items, uint64_t at)
+// Changes between the current items and a full read at a later revision.
+static std::vector<StoreItem> ChangesSince(const Relay& relay, const std::vector<StoreItem>& items, uint64_t at)
 {
     std::vector<StoreItem> changes;
     std::set<std::string> named;
@@ -426,7 +426,7 @@
 {
     if (relay->At != 0 && at >= relay->At)
     {
-        RelayAddChanges(relay, Differences(*relay, all.Items, at), at); // Followers need not read everything too.
+        RelayAddChanges(relay, ChangesSince(*relay, all.Items, at), at); // Spares the followers a full read.
         return;
     }
     relay->Items.clear();
@@ -439,7 +439,7 @@
     relay->ChangesFrom = at;
     relay->All = all.Packed;
     relay->AllAt = all.Packed.empty() ? 0 : at;
-    TellFollowers(relay);
+    AnswerFollowers(relay);
 }
 
 void RelayAddChanges(Relay* relay, const std::vector<StoreItem>& changes, uint64_t at)
@@ -462,7 +462,7 @@
         relay->Changes.pop_front();
     }
     relay->At = at;
-    TellFollowers(relay);
+    AnswerFollowers(relay);
 }
 
 void RelaySetLost(Relay* relay, TimeUs tried)
@@ -472,12 +472,12 @@
     relay->TriedUs = std::max(relay->TriedUs, tried);
     if (relay->At == 0)
     {
-        EndWaits(relay, [](const RelayWait& wait) { return wait.Asker.Everything && wait.Asker.Lost && !wait.Asker.Lead; });
+        AnswerHeldIf(relay, [](const RelayWait& wait) { return wait.Asker.Everything && wait.Asker.Lost && !wait.Asker.Lead; });
         return;
     }
     if (!before || NowUs() >= relay->ToldUs + relay->Config.BeatUs)
     {
-        TellFollowers(relay);
+        AnswerFollowers(relay);
     }
 }
 
@@ -486,26 +486,26 @@
     if (relay->Trouble)
     {
         relay->Trouble = false;
-        TellFollowers(relay);
+        AnswerFollowers(relay);
     }
 }
 
 void RelayBeat(Relay* relay)
 {
-    if (FreshUs(*relay) >= relay->ToldFreshUs + relay->Config.BeatUs)
+    if (DataTimeUs(*relay) >= relay->ToldFreshUs + relay->Config.BeatUs)
     {
-        TellFollowers(relay);
+        AnswerFollowers(relay);
     }
 }
 
 void RelayTell(Relay* relay)
 {
-    TellFollowers(relay);
+    AnswerFollowers(relay);
 }
 
 void RelayAnswerLeads(Relay* relay)
 {
-    EndWaits(relay, [](const RelayWait& wait) { return wait.Asker.Lead; });
+    AnswerHeldIf(relay, [](const RelayWait& wait) { return wait.Asker.Lead; });
 }
 
 //-----------------------------------------------------------------------------
@@ -518,12 +518,12 @@
     relay->Rng = random;
     ListenerConfig config;
     config.Address = address;
-    return ListenerStart(&relay->Server, loop, config, [relay](const ExchangePtr& call) { OnCall(relay, call); });
+    return ListenerStart(&relay->Server, loop, config, [relay](const ExchangePtr& call) { OnRequest(relay, call); });
 }
 
 Relay::~Relay()
 {
-    ListenerStop(&Server); // Waits belong to its calls.
+    ListenerStop(&Server); // Before Waits is destroyed: it holds calls of the listener.
 }
 
 } // namespace Winchlink
--- a/gateway/relay.h
+++ b/gateway/relay.h
@@ -1,15 +1,15 @@
-// relay.h: what one instance knows of the store, handed on to others: items as they are, and each change.
+// relay.h: serves an instance's copy of the store's items, and each change of them, to other instances.
 //
-// One instance reads the store; all others follow it, or others that do. Every instance can hand on what it holds, so that a start succeeds
-// while the store is away. Each answer says how old its knowledge is, who reads the store, and whether it is lost; Follow (winchlink.h)
-// decides by that. Revisions are the store's own, so a follower goes from one instance to another, or to the store, without reading
-// everything again.
+// One instance reads the store; all others follow it, directly or through other followers. Every instance can serve its copy, so that
+// instances can start while the store is unavailable. Each answer carries the age of the data, the instance that reads the store, and
+// whether the store is lost; Follow (winchlink.h) selects sources by these. Revisions are those of the store, so a follower can switch
+// between instances and the store without a full read.
 //
-// An instance that knows nothing yet holds those that ask it for everything, and answers them with the bytes that it gets itself, before it
-// reads them: a fleet that starts at once learns level by level, and nobody asks twice.
+// An instance without data holds full reads until it has data. It then passes on the bytes that it received before decoding them, which
+// keeps the latency low when a whole fleet starts at once.
 //
-// Messages are coded by cereal, and their items compressed by zlib. They are not authenticated: the platform gives no secret to processes,
-// and its network lets only its own machines reach these addresses (docs/DESIGN.md).
+// Messages are encoded by cereal, and their items compressed by zlib. They are not authenticated: the network must admit only the
+// platform's own machines to these addresses.
 
 #pragma once
 
@@ -21,17 +21,16 @@
 namespace Winchlink
 {
 
-inline constexpr const char* TargetEndsTarget = "/ends"; // Path of what instances tell each other of requests that end targets.
+inline constexpr const char* TargetEndsTarget = "/ends"; // Path for the exchange of target crashes between instances; see Quarantine.
 
 struct RelayConfig
 {
-    size_t ChangesKept = 2000; // Changes that a follower may be behind without reading everything.
-    TimeUs BeatUs =
-        800 * UsPerMs; // Followers are told that nothing has changed when they know it as of so long ago. By what they know and not by
-                       // when they were last told: some were told old news a moment before, and their followers would leave them.
+    size_t ChangesKept = 2000;     // Changes kept in memory; a follower that is further behind must do a full read.
+    TimeUs BeatUs = 800 * UsPerMs; // Followers get a heartbeat when the data last sent to them is older than this. Counted by the age
+                                   // of the data and not by the time of sending, as the data may have been old when it was sent.
 };
 
-// One that waits for a change, or for everything.
+// A held request of a follower.
 struct RelayWait
 {
     ExchangePtr From;
@@ -42,33 +41,33 @@
 struct Relay
 {
     RelayConfig Config;
-    Fanout Spread;                                         // How many are served here.
-    std::string DataCentre;                                // Own.
-    EventLoop* Loop = nullptr;                             //
-    Random* Rng = nullptr;                                 //
-    Listener Server;                                       //
-    std::map<std::string, StoreItem> Items;                // All, by key.
-    std::deque<StoreItem> Changes;                         // The latest, in order.
-    uint64_t ChangesFrom = 0;                              // All changes above this revision are in Changes.
-    uint64_t At = 0;                                       // Revision of Items; 0: nothing is known.
-    std::function<TimeUs()> Age;                           // How long ago Items was known to be the store's state.
-    std::function<void()> OnLead;                          // Another instance wants us to ask the store; may be empty.
-    std::function<void(const std::string&)> OnMet;         // An instance that can be followed has asked us; may be empty.
-    std::function<std::string()> Origin;                   // Who reads the store for us; empty: unknown.
-    std::function<uint64_t()> EndsDigest;                  // Of what is known of requests that end targets; empty: nothing is told of it.
-    std::function<std::string(const std::string&)> OnEnds; // Another instance tells what it knows of them; returns what we know.
-    bool Trouble = false;                                  // We have lost the store.
-    TimeUs TriedUs = 0;                                    // If so: when it was last asked in vain.
-    TimeUs ToldUs = 0;                                     // When all waits were last ended.
-    TimeUs ToldFreshUs = 0;                                // When what they were told was known to be the state of the store.
-    std::map<uint64_t, RelayWait> Waits;                   // Those that wait.
-    uint64_t LastWait = 0;                                 //
-    uint64_t PackedAfter = 0;                              // Most followers wait for the same: their items are coded once.
-    uint64_t PackedAt = 0;                                 //
-    std::string Packed;                                    //
-    std::string All;                                       // All items, coded, as they came or for the first that asked.
-    uint64_t AllAt = 0;                                    // Their revision.
-    uint64_t Answers = 0;                                  // Counter.
+    Fanout Spread;          // Limits the followers served here.
+    std::string DataCentre; // Of this instance.
+    EventLoop* Loop = nullptr;
+    Random* Rng = nullptr;
+    Listener Server;
+    std::map<std::string, StoreItem> Items;                // By key.
+    std::deque<StoreItem> Changes;                         // Latest changes, oldest first.
+    uint64_t ChangesFrom = 0;                              // Changes is complete above this revision.
+    uint64_t At = 0;                                       // Store revision of Items; 0: no data.
+    std::function<TimeUs()> Age;                           // Time since Items was known to be current; empty: 0.
+    std::function<void()> OnLead;                          // A follower wants this instance to ask the store; may be empty.
+    std::function<void(const std::string&)> OnMet;         // Gets the address of each requester that can be followed; may be empty.
+    std::function<std::string()> Origin;                   // Returns the instance that reads the store for this one; may be empty.
+    std::function<uint64_t()> EndsDigest;                  // Returns the digest of the quarantine; may be empty.
+    std::function<std::string(const std::string&)> OnEnds; // Handles a message with target crashes; returns the answer. May be empty.
+    bool Trouble = false;                                  // The store is lost.
+    TimeUs TriedUs = 0;                                    // If so: time of the last failed attempt to reach it.
+    TimeUs ToldUs = 0;                                     // When updates or heartbeats were last sent to all followers.
+    TimeUs ToldFreshUs = 0;                                // Time as of which that data was known to be current.
+    std::map<uint64_t, RelayWait> Waits;                   // Held requests, by number.
+    uint64_t LastWait = 0;                                 // Number of the latest one.
+    uint64_t PackedAfter = 0;                              // Cached answer: changes after this revision,
+    uint64_t PackedAt = 0;                                 // up to this one,
+    std::string Packed;                                    // encoded.
+    std::string All;                                       // Cached answer to full reads, encoded.
+    uint64_t AllAt = 0;                                    // Its revision; 0: none.
+    uint64_t Answers = 0;                                  // Counter: answers to requests for changes.
 
     Relay() = default;
     ~Relay();
@@ -79,39 +78,39 @@
 // Listens for followers.
 Result<void> RelayStart(Relay* relay, EventLoop* loop, Random* random, const std::string& address);
 
-// What the reader has learnt. Followers that wait are told.
+// New data from this instance's source: a full read, or changes. Waiting followers are answered.
 void RelaySetAll(Relay* relay, const StorePage& all, uint64_t at);
 void RelayAddChanges(Relay* relay, const std::vector<StoreItem>& changes, uint64_t at);
 
-// The store is lost, and was last asked at `tried`; or it is back.
+// The store is lost, with the last failed attempt at `tried`; the store is available again.
 void RelaySetLost(Relay* relay, TimeUs tried);
 void RelaySetFound(Relay* relay);
 
-// Our source was heard and nothing has changed: followers are told, so that their knowledge is as fresh as ours however many instances it
-// passes.
+// The source answered without changes. Sends a heartbeat to the followers when due, so that the age of their data stays low over several
+// hops.
 void RelayBeat(Relay* relay);
 
-// Followers are told at once, though the store says nothing new: of something else that we know.
+// Answers all waiting followers at once, to pass on a state other than the store's items, such as a new EndsDigest.
 void RelayTell(Relay* relay);
 
-// Addresses of the instances that follow this one now, as far as they can be followed themselves.
+// Addresses of the current followers that can be followed themselves.
 std::vector<std::string> RelayFollowers(const Relay& relay);
 
-// The store has answered us, or failed: those for which we asked it are told.
+// The store has answered or failed: answers the followers on whose behalf it was asked.
 void RelayAnswerLeads(Relay* relay);
 
-// What a follower tells of itself.
+// What a follower sends about itself.
 struct RelayFollower
 {
-    std::string Address;    // Where it can be followed; empty: it can't.
-    std::string DataCentre; // Where it is.
-    bool Contact = false;   // It is a first contact.
+    std::string Address;    // Where it can be followed; empty if it can't.
+    std::string DataCentre; // Where it runs.
+    bool Contact = false;   // It is a seed.
 };
 
-// How it spells its calls.
+// Paths and encodings of the calls of a follower.
 StoreDialect RelayDialect(const RelayFollower& own);
 
-// Bytes of a message, and back. Code_MessageMalformed for what is no message.
+// Encodes and decodes a message. Code_MessageMalformed if the bytes are not a valid message.
 std::string EncodePage(const StorePage& page);
 Result<StorePage> DecodePage(const std::string& bytes);
 
--- a/gateway/store_news.cpp
+++ b/gateway/store_news.cpp
@@ -1,11 +1,11 @@
-// store_news.cpp: what an instance makes of items of the store: its plan, its targets, evacuated data centres, and items that are invalid.
+// store_news.cpp: applies items of the store: plan, targets, evacuations, and invalid items.
 //
 // Index of this file:
 // [SECTION] Plan
 // [SECTION] Targets
 // [SECTION] Evacuations
 // [SECTION] Invalid items
-// [SECTION] All together
+// [SECTION] Batches
 
 #include "store_news.h"
 
@@ -20,13 +20,13 @@
 // [SECTION] Plan
 //-----------------------------------------------------------------------------
 
-static void TakePlan(Gateway* gateway, const RoutePlan& plan)
+static void ApplyPlan(Gateway* gateway, const RoutePlan& plan)
 {
     Forwarder& requests = gateway->Requests;
     const uint64_t held = requests.Plan ? requests.Plan->Version : 0;
     if (plan.Version <= held)
     {
-        return; // The same again, or an older one.
+        return; // Already in force, or older.
     }
     requests.Plan = std::make_shared<const RoutePlan>(plan);
     gateway->PlanUs = NowUs();
@@ -43,31 +43,31 @@
 // [SECTION] Targets
 //-----------------------------------------------------------------------------
 
-// What became of a service's targets in one answer of the source.
+// Summary, for the log, of the changes to one service's targets in one answer of the source.
 struct TargetChanges
 {
-    int Ready = 0;   // Entries of targets that take work: new ones, and changed ones.
-    int Leaving = 0; // That say that they leave.
-    int Gone = 0;    // Entries that went.
-    std::string Ids; // Of all that leave or went, which is what later decisions turn on, and of the first of the others.
+    int Ready = 0;   // New or changed entries of ready targets.
+    int Leaving = 0; // Entries of draining targets.
+    int Gone = 0;    // Removed entries.
+    std::string Ids; // All draining and removed targets, and the first ReadyNamedMax ready ones.
 };
 
-static constexpr int ReadyNamedMost = 5;
+static constexpr int ReadyNamedMax = 5;
 
-static void NoteChange(const TargetNews& news, const std::string& service, std::map<std::string, TargetChanges>* changes)
+static void CountChange(const TargetNews& news, const std::string& service, std::map<std::string, TargetChanges>* changes)
 {
     TargetChanges& of_service = (*changes)[service];
     const bool leaving = !news.Gone && news.Target.Presence == Presence_Leaving;
     of_service.Gone += news.Gone ? 1 : 0;
     of_service.Leaving += leaving ? 1 : 0;
     of_service.Ready += news.Gone || leaving ? 0 : 1;
-    if (news.Gone || leaving || of_service.Ready <= ReadyNamedMost)
+    if (news.Gone || leaving || of_service.Ready <= ReadyNamedMax)
     {
         of_service.Ids += (of_service.Ids.empty() ? "" : " ") + news.Target.Id + (news.Gone ? ":gone" : leaving ? ":leaving" : "");
     }
 }
 
-// One line a service: with a line for each entry, those of instances and targets multiply, and the lines about requests drown.
+// Writes one line per service rather than per entry, to limit the size of the log.
 static void LogChanges(const std::map<std::string, TargetChanges>& changes, uint64_t at)
 {
     for (const auto& [service, of_service] : changes)
@@ -82,7 +82,7 @@
     }
 }
 
-// All targets at once: a line a service, as 700 lines at the start of each instance would leave out others.
+// Logs all targets after a full read, one line per service.
 static void LogAllTargets(const Gateway& gateway, uint64_t at)
 {
     for (const auto& [service, targets] : DirectoryByService(gateway.Requests.Directory))
@@ -97,7 +97,7 @@
     }
 }
 
-static void TakeTarget(Gateway* gateway, const TargetNews& news, std::map<std::string, TargetChanges>* changes)
+static void ApplyTarget(Gateway* gateway, const TargetNews& news, std::map<std::string, TargetChanges>* changes)
 {
     const DirectoryTarget& target = news.Target;
     TargetDirectory& directory = gateway->Requests.Directory;
@@ -110,7 +110,7 @@
     const bool was_known = known != directory.Targets.end();
     if (!news.Gone || was_known)
     {
-        NoteChange(news, news.Gone ? known->second.Service : target.Service, changes);
+        CountChange(news, news.Gone ? known->second.Service : target.Service, changes);
     }
     if (news.Gone)
     {
@@ -120,8 +120,8 @@
     DirectoryPut(&directory, target, NowUs());
 }
 
-// Targets that `news` does not name are gone.
-static void ForgetOthers(Gateway* gateway, const StoreNews& news, uint64_t at)
+// Removes the targets that `news`, a full read, does not contain.
+static void RemoveUnlistedTargets(Gateway* gateway, const StoreNews& news, uint64_t at)
 {
     std::set<std::string> named;
     for (const TargetNews& target : news.Targets)
@@ -131,8 +131,8 @@
     DirectoryKeep(&gateway->Requests.Directory, named, at, NowUs());
 }
 
-// Vanished targets are forgotten at the very moment: what is sent to them after that may come too late.
-static void ForgetInTime(Gateway* gateway)
+// Schedules the removal of missing targets. It must be on time: later requests may reach a target that has stopped.
+static void ScheduleExpiry(Gateway* gateway)
 {
     const std::optional<TimeUs> next = DirectoryNextForget(gateway->Requests.Directory);
     gateway->Forgetting = nullptr;
@@ -143,7 +143,7 @@
                                          {
                                              DirectoryTick(&gateway->Requests.Directory, NowUs());
                                              ForwarderFollow(&gateway->Requests);
-                                             ForgetInTime(gateway);
+                                             ScheduleExpiry(gateway);
                                          });
     }
 }
@@ -163,7 +163,7 @@
         {{"dataCentre", data_centre}, {"revision", revision}, {"targets", known}});
 }
 
-static void TakeEvacuations(Gateway* gateway, const StoreNews& news, uint64_t at, bool everything)
+static void ApplyEvacuations(Gateway* gateway, const StoreNews& news, uint64_t at, bool everything)
 {
     TargetDirectory& directory = gateway->Requests.Directory;
     std::set<std::string> named;
@@ -189,8 +189,8 @@
 // [SECTION] Invalid items
 //-----------------------------------------------------------------------------
 
-// Each is told of once for each change.
-static void TakeInvalid(Gateway* gateway, const StoreNews& news, const std::vector<StoreItem>& list, uint64_t at, bool everything)
+// Logs each invalid item once, and again when its error changes.
+static void UpdateInvalid(Gateway* gateway, const StoreNews& news, const std::vector<StoreItem>& list, uint64_t at, bool everything)
 {
     const std::map<std::string, std::string> before = gateway->Invalid;
     if (everything || news.InvalidIsAll)
@@ -214,45 +214,45 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] All together
+// [SECTION] Batches
 //-----------------------------------------------------------------------------
 
-static void TakeItems(Gateway* gateway, const std::vector<StoreItem>& list, uint64_t at, bool everything)
+static void ApplyItems(Gateway* gateway, const std::vector<StoreItem>& list, uint64_t at, bool everything)
 {
     const StoreNews news = gateway->Platform.Read({list, at, everything, NowUs()});
-    TakeInvalid(gateway, news, list, at, everything);
+    UpdateInvalid(gateway, news, list, at, everything);
     if (news.Plan)
     {
-        TakePlan(gateway, *news.Plan);
+        ApplyPlan(gateway, *news.Plan);
     }
     std::map<std::string, TargetChanges> changes;
     for (const TargetNews& target : news.Targets)
     {
-        TakeTarget(gateway, target, &changes);
+        ApplyTarget(gateway, target, &changes);
     }
     if (!everything)
     {
         LogChanges(changes, at);
     }
-    TakeEvacuations(gateway, news, at, everything);
+    ApplyEvacuations(gateway, news, at, everything);
     if (everything)
     {
-        ForgetOthers(gateway, news, at);
+        RemoveUnlistedTargets(gateway, news, at);
         LogAllTargets(*gateway, at);
     }
     ForwarderFollow(&gateway->Requests);
-    ForgetInTime(gateway);
+    ScheduleExpiry(gateway);
 }
 
-// Reads what has been learnt, in order.
-static void ReadBatches(Gateway* gateway)
+// Applies the queued batches in order.
+static void ApplyBatches(Gateway* gateway)
 {
     gateway->Reading = nullptr;
     const std::vector<StoreBatch> batches = std::move(gateway->Unread);
     gateway->Unread.clear();
     for (const StoreBatch& batch : batches)
     {
-        TakeItems(gateway, batch.Items, batch.At, batch.Everything);
+        ApplyItems(gateway, batch.Items, batch.At, batch.Everything);
     }
 }
 
@@ -261,7 +261,7 @@
     gateway->Unread.push_back(std::move(batch));
     if (!gateway->Reading)
     {
-        gateway->Reading = TimerStart(gateway->Loop, gateway->Timing.ApplyUs, [gateway]() { ReadBatches(gateway); });
+        gateway->Reading = TimerStart(gateway->Loop, gateway->Timing.ApplyUs, [gateway]() { ApplyBatches(gateway); });
     }
 }
 
--- a/gateway/store_news.h
+++ b/gateway/store_news.h
@@ -1,4 +1,4 @@
-// store_news.h: what an instance makes of items of the store: its plan, its targets, evacuated data centres, and items that are invalid.
+// store_news.h: applies items of the store: plan, targets, evacuations, and invalid items.
 
 #pragma once
 
@@ -7,7 +7,7 @@
 namespace Winchlink
 {
 
-// Reads what has been learnt a moment later, in order: it is handed on to others first.
+// Queues a batch of items and applies the queue, in order, after a short delay, so that followers are served first.
 void ReadSoon(Gateway* gateway, StoreBatch batch);
 
 } // namespace Winchlink
--- a/gateway/store_reader.cpp
+++ b/gateway/store_reader.cpp
@@ -1,10 +1,10 @@
-// store_reader.cpp: follows a key-value store that can only be read.
+// store_reader.cpp: reads a read-only key-value store.
 //
 // Index of this file:
 // [SECTION] Calls
-// [SECTION] What became of a call
-// [SECTION] Reading everything
-// [SECTION] Waiting for changes
+// [SECTION] Outcome of a call
+// [SECTION] Full read
+// [SECTION] Long poll for changes
 // [SECTION] Start
 
 #include "store_reader.h"
@@ -21,7 +21,7 @@
 {
 
 static void ReadAll(StoreReader* reader);
-static void AwaitChanges(StoreReader* reader);
+static void PollChanges(StoreReader* reader);
 
 //-----------------------------------------------------------------------------
 // [SECTION] Calls
@@ -37,20 +37,20 @@
     return AsksStore(reader) ? reader.FromStore : reader.FromInstance;
 }
 
-// Carries out the next step, after its pause or the given one.
-static void GoOn(StoreReader* reader, TimeUs pause = 0)
+// Carries out the next step, after its pause or the given one, whichever is longer.
+static void StartNextStep(StoreReader* reader, TimeUs pause = 0)
 {
     const TimeUs wait = std::max(pause, reader->Following.Next.PauseUs);
     reader->Next = TimerStart(reader->Loop, wait,
                               [reader]()
                               {
                                   const bool all = reader->Following.At == 0 || reader->HistoryGone;
-                                  all ? ReadAll(reader) : AwaitChanges(reader);
+                                  all ? ReadAll(reader) : PollChanges(reader);
                               });
 }
 
-// Calls to the store are counted by the reason for which they are made.
-static void Count(StoreReader* reader)
+// Counts calls to the store by reason.
+static void CountStoreCall(StoreReader* reader)
 {
     if (AsksStore(*reader))
     {
@@ -68,7 +68,7 @@
     request.Target = source.Dialect.Remarks ? target + source.Dialect.Remarks(step) : target;
     request.TimeoutUs = timeout;
     request.ConnectUs = source.ConnectUs;
-    Count(reader);
+    CountStoreCall(reader);
     const auto answered = [reader, done](const ClientAnswer& answer)
     {
         reader->Current = 0;
@@ -78,7 +78,7 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] What became of a call
+// [SECTION] Outcome of a call
 //-----------------------------------------------------------------------------
 
 static void LogFailure(const StoreReader& reader, const std::string& why)
@@ -90,7 +90,7 @@
          {"revision", reader.Following.At}});
 }
 
-static void Failed(StoreReader* reader, const std::string& why, bool late)
+static void OnFailure(StoreReader* reader, const std::string& why, bool late)
 {
     LogFailure(*reader, why);
     reader->CallsFailed++;
@@ -99,13 +99,13 @@
         reader->OnTrouble(why, 0);
     }
     FollowFailed(&reader->Following, late, NowUs(), reader->Rng);
-    GoOn(reader);
+    StartNextStep(reader);
 }
 
-static void CallFailed(StoreReader* reader, const ClientAnswer& answer)
+static void OnCallFailure(StoreReader* reader, const ClientAnswer& answer)
 {
     const bool answered = answer.End == ClientEnd_Answered;
-    Failed(reader, answered ? fmt::format("status {}", answer.Status) : answer.Detail, answer.End == ClientEnd_TimedOut);
+    OnFailure(reader, answered ? fmt::format("status {}", answer.Status) : answer.Detail, answer.End == ClientEnd_TimedOut);
 }
 
 static bool IsGood(const ClientAnswer& answer)
@@ -113,20 +113,20 @@
     return answer.End == ClientEnd_Answered && answer.Status == 200;
 }
 
-static void LeftBehind(StoreReader* reader, const FollowStep& step, FollowVerdict_ verdict, const StorePage& page)
+static void LogSourceLeft(StoreReader* reader, const FollowStep& step, FollowVerdict_ verdict, const StorePage& page)
 {
     reader->CallsFailed++;
     Log(LogLevel_Info, Code_PlatformUnreachable, "source left",
         {{"address", step.Address},
-         {"detail", verdict == FollowVerdict_Ours ? "it follows us" : "behind"},
+         {"detail", verdict == FollowVerdict_Ours ? "its data comes from this instance" : "stale or behind"},
          {"revision", page.At},
          {"ageUs", page.AgeUs},
          {"ours", reader->Following.At}});
 }
 
-// Takes what a source knows and decides whom to ask next. An instance that knows nothing takes what anybody holds, however old, and goes on
-// looking for a better source.
-static void Heard(StoreReader* reader, const StorePage& page, bool everything)
+// Applies the answer of a source and selects the next one. The data is applied unless it is behind the known revision, even when it is
+// stale and the source is left.
+static void ApplyAnswer(StoreReader* reader, const StorePage& page, bool everything)
 {
     const FollowStep step = reader->Following.Next;
     const uint64_t before = reader->Following.At;
@@ -157,31 +157,31 @@
     }
     else if (verdict == FollowVerdict_Lost)
     {
-        reader->OnTrouble("told by " + step.Address, page.TriedUs);
+        reader->OnTrouble("reported by " + step.Address, page.TriedUs);
     }
     else
     {
-        LeftBehind(reader, step, verdict, page);
+        LogSourceLeft(reader, step, verdict, page);
     }
-    const bool gather = changed && step.Kind == SourceKind_Store;
-    GoOn(reader, gather ? reader->FromStore.GatherUs : 0);
+    const bool batch = changed && step.Kind == SourceKind_Store;
+    StartNextStep(reader, batch ? reader->FromStore.GatherUs : 0);
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Reading everything
+// [SECTION] Full read
 //-----------------------------------------------------------------------------
 
 static void ReadPage(StoreReader* reader);
 
-// Others may send on one that asks for everything too.
-static bool SentOn(StoreReader* reader, const StorePage& page)
+// Follows the redirect of another instance, if there is one.
+static bool FollowRedirect(StoreReader* reader, const StorePage& page)
 {
     if (page.Elsewhere.empty())
     {
         return false;
     }
     FollowSentOn(&reader->Following, page.Elsewhere, reader->Rng);
-    GoOn(reader);
+    StartNextStep(reader);
     return true;
 }
 
@@ -189,21 +189,21 @@
 {
     if (!IsGood(answer))
     {
-        CallFailed(reader, answer);
+        OnCallFailure(reader, answer);
         return;
     }
     Result<StorePage> read = SourceOf(*reader).Dialect.ReadPage(answer.Body);
     if (!read)
     {
-        Failed(reader, read.error().Detail, false);
+        OnFailure(reader, read.error().Detail, false);
         return;
     }
     StorePage& page = read.value();
-    if (SentOn(reader, page))
+    if (FollowRedirect(reader, page))
     {
         return;
     }
-    // Pages are no snapshot: changes are asked for from the revision of the first.
+    // Pages are not a snapshot: changes are read from the revision of the first page.
     reader->PagesAt = reader->PagesAt == 0 ? page.At : reader->PagesAt;
     const bool single = reader->Pages.empty() && !page.More;
     std::move(page.Items.begin(), page.Items.end(), std::back_inserter(reader->Pages));
@@ -216,7 +216,7 @@
     page.Packed = single ? page.Packed : "";
     page.At = reader->PagesAt;
     reader->Pages.clear();
-    Heard(reader, page, true);
+    ApplyAnswer(reader, page, true);
 }
 
 static void ReadPage(StoreReader* reader)
@@ -234,7 +234,7 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Waiting for changes
+// [SECTION] Long poll for changes
 //-----------------------------------------------------------------------------
 
 static void OnChanges(StoreReader* reader, const ClientAnswer& answer)
@@ -243,29 +243,29 @@
     if (answer.End == ClientEnd_Answered && answer.Status == source.Dialect.HistoryGoneStatus)
     {
         reader->HistoryGone = true;
-        GoOn(reader, std::uniform_int_distribution<TimeUs>(0, source.GatherUs)(*reader->Rng));
+        StartNextStep(reader, std::uniform_int_distribution<TimeUs>(0, source.GatherUs)(*reader->Rng));
         return;
     }
     if (!IsGood(answer))
     {
-        CallFailed(reader, answer);
+        OnCallFailure(reader, answer);
         return;
     }
     const Result<StorePage> read = source.Dialect.ReadChanges(answer.Body);
     if (!read)
     {
-        Failed(reader, read.error().Detail, false);
+        OnFailure(reader, read.error().Detail, false);
         return;
     }
     const StorePage& page = read.value();
-    if (SentOn(reader, page))
+    if (FollowRedirect(reader, page))
     {
         return;
     }
-    Heard(reader, page, false);
+    ApplyAnswer(reader, page, false);
 }
 
-static void AwaitChanges(StoreReader* reader)
+static void PollChanges(StoreReader* reader)
 {
     const StoreSource& source = SourceOf(*reader);
     const FollowStep& step = reader->Following.Next;
@@ -283,23 +283,23 @@
     reader->Calls = client;
     reader->Rng = random;
     FollowStart(&reader->Following, NowUs());
-    GoOn(reader);
+    StartNextStep(reader);
 }
 
-// Ends the call in progress: there is something better to do.
-static void DoInstead(StoreReader* reader)
+// Cancels the call in progress and carries out the new next step.
+static void CancelAndContinue(StoreReader* reader)
 {
     ClientCancel(reader->Calls, reader->Current);
     reader->Current = 0;
     reader->Pages.clear();
-    GoOn(reader);
+    StartNextStep(reader);
 }
 
 void StoreReaderAskStore(StoreReader* reader)
 {
     if (FollowAsked(&reader->Following))
     {
-        DoInstead(reader);
+        CancelAndContinue(reader);
     }
 }
 
@@ -307,7 +307,7 @@
 {
     if (FollowNeeded(&reader->Following))
     {
-        DoInstead(reader);
+        CancelAndContinue(reader);
     }
 }
 
--- a/gateway/store_reader.h
+++ b/gateway/store_reader.h
@@ -1,10 +1,10 @@
-// store_reader.h: follows a key-value store that can only be read: everything once, then each change.
+// store_reader.h: reads a read-only key-value store: one full read, then long polls for changes.
 //
-// A change may come from the store itself or from another instance that knows it (relay.h): calls to the store have a price, and each of
-// them counts against its rates. Whom to ask is decided by the library (Follow in winchlink.h); this file carries the decisions out: it
-// makes the calls, reads the answers, and tells what they were. It never trusts a source that is silent: each wait has an end.
+// The data comes from the store itself or from another instance (relay.h), as calls to the store are billed and rate-limited. The library
+// selects the source (Follow in winchlink.h); the reader makes the calls, decodes the answers, and reports the outcome. Every call has a
+// timeout.
 //
-// The reader knows no spelling: a StoreDialect makes paths and reads answers (platform/wire.h has the users', relay.h our own).
+// The reader is independent of paths and encodings: a StoreDialect supplies them (platform/wire.h for the store, relay.h for instances).
 //
 // How to use it: fill FromStore, FromInstance, Following's sources and the callbacks, then StoreReaderStart().
 
@@ -19,7 +19,7 @@
 {
     std::string Key;
     std::string Value;     // Decoded; empty if Gone.
-    uint64_t Revision = 0; // Of its last change.
+    uint64_t Revision = 0; // Store revision of its last change.
     bool Gone = false;     // The key was removed.
 
     template <class Archive> void serialize(Archive& archive)
@@ -31,43 +31,43 @@
 struct StorePage
 {
     std::vector<StoreItem> Items;
-    std::vector<Error> Nameless;        // Items that name nothing; they are passed over, and hide no others.
+    std::vector<Error> Nameless;        // Items without a key; they are logged and skipped.
     bool More = false;                  // Another page follows.
-    uint64_t At = 0;                    // The store's revision.
-    TimeUs AgeUs = 0;                   // How long ago this was known to be the store's state; 0 from the store itself.
+    uint64_t At = 0;                    // Store revision of the data.
+    TimeUs AgeUs = 0;                   // Time since the data was known to be current; 0 from the store itself.
     bool Trouble = false;               // The source has lost the store.
-    TimeUs TriedUs = 0;                 // If so: how long ago the store was last asked in vain.
-    std::string Origin;                 // Where the instance that reads the store for the source can be followed; may be empty.
-    std::vector<std::string> Elsewhere; // The source serves as many as it can: these instances know the same.
-    uint64_t EndsDigest = 0;            // Of what the source knows of requests that end targets; only from an instance.
-    std::string Packed;                 // Items as they came from another instance, to be handed on without coding them again.
+    TimeUs TriedUs = 0;                 // If so: time since the last failed attempt to reach the store.
+    std::string Origin;                 // Address of the instance that reads the store for the source; may be empty.
+    std::vector<std::string> Elsewhere; // Redirect: ask one of these instances instead.
+    uint64_t EndsDigest = 0;            // Digest of the source's quarantine; only from an instance.
+    std::string Packed;                 // Items as received from another instance, to be passed on without encoding them again.
 
-    // What instances tell each other besides the items.
+    // Head of a message between instances; the items follow separately.
     template <class Archive> void serialize(Archive& archive)
     {
         archive(More, At, AgeUs, Trouble, TriedUs, Origin, Elsewhere, EndsDigest);
     }
 };
 
-// How a source spells its calls and answers.
+// Paths and encodings of one kind of source.
 struct StoreDialect
 {
-    std::function<std::string(const std::string& after_key)> PageTarget;   // Path and query of a page of all items.
-    std::function<std::string(uint64_t after, TimeUs wait)> ChangesTarget; // Path and query of a wait for changes.
-    std::function<Result<StorePage>(const std::string& body)> ReadPage;    // Answer to the first.
-    std::function<Result<StorePage>(const std::string& body)> ReadChanges; // Answer to the second.
-    std::function<std::string(const FollowStep& step)> Remarks;            // Added to either, for other instances; may be empty.
-    int HistoryGoneStatus = 410;                                           // Changes since that revision are forgotten.
+    std::function<std::string(const std::string& after_key)> PageTarget;   // Path and query for a page of a full read.
+    std::function<std::string(uint64_t after, TimeUs wait)> ChangesTarget; // Path and query for a long poll.
+    std::function<Result<StorePage>(const std::string& body)> ReadPage;    // Decodes a page.
+    std::function<Result<StorePage>(const std::string& body)> ReadChanges; // Decodes the answer to a long poll.
+    std::function<std::string(const FollowStep& step)> Remarks;            // Query parameters added to either; may be empty.
+    int HistoryGoneStatus = 410;                                           // Status if changes since the revision are no longer kept.
 };
 
 struct StoreSource
 {
     StoreDialect Dialect;
-    TimeUs WaitUs = 0;    // A wait for changes; with the margin, the longest that silence goes unnoticed.
-    TimeUs MarginUs = 0;  // An answer that is later than this after its time is lost.
-    TimeUs GatherUs = 0;  // Pause after changes, so that several come in one answer.
-    TimeUs ReadUs = 0;    // Longest time for a page.
-    TimeUs ConnectUs = 0; // Longest time for a connection.
+    TimeUs WaitUs = 0;    // Duration of a long poll.
+    TimeUs MarginUs = 0;  // Added to it for the timeout of the call.
+    TimeUs GatherUs = 0;  // Pause after changes, to batch them.
+    TimeUs ReadUs = 0;    // Timeout of a page.
+    TimeUs ConnectUs = 0; // Connect timeout.
 };
 
 struct StoreReader
@@ -75,34 +75,34 @@
     StoreSource FromStore;
     StoreSource FromInstance;
     Follow Following;
-    std::function<void(const StorePage& all, uint64_t at)> OnAll;              // Everything, as of a revision.
-    std::function<void(const std::vector<StoreItem>&, uint64_t at)> OnChanges; // What changed up to a revision.
-    std::function<void(const std::string& why, TimeUs tried)> OnTrouble;       // The store failed; `tried`: how long ago it was asked.
-    std::function<void(bool changed)> OnAnswered;                              // A good answer came; `changed`: with changes.
-    std::function<void(uint64_t digest)> OnEndsDigest;                         // An instance has answered, see StorePage. May be empty.
+    std::function<void(const StorePage& all, uint64_t at)> OnAll;              // A full read, at a revision.
+    std::function<void(const std::vector<StoreItem>&, uint64_t at)> OnChanges; // Changes up to a revision.
+    std::function<void(const std::string& why, TimeUs tried)> OnTrouble;       // The store failed, `tried` microseconds ago.
+    std::function<void(bool changed)> OnAnswered;                              // A source answered with current data.
+    std::function<void(uint64_t digest)> OnEndsDigest;                         // An instance answered, see StorePage. May be empty.
 
     EventLoop* Loop = nullptr;
     Client* Calls = nullptr;
     Random* Rng = nullptr;
-    std::vector<StoreItem> Pages;                               // Pages read so far.
-    uint64_t PagesAt = 0;                                       // Revision of the first of them.
-    bool HistoryGone = false;                                   // Everything must be read again.
-    uint64_t Current = 0;                                       // The call in progress.
-    Timer Next;                                                 // The next call.
-    std::array<uint64_t, StoreReason_COUNT> StoreCallsFor = {}; // Counters: calls to the store itself, by reason.
-    uint64_t CallsFailed = 0;                                   // Of any source.
+    std::vector<StoreItem> Pages;                               // Items of the pages read so far.
+    uint64_t PagesAt = 0;                                       // Revision of the first page.
+    bool HistoryGone = false;                                   // A full read is needed.
+    uint64_t Current = 0;                                       // Id of the call in progress; 0 if none.
+    Timer Next;                                                 // Starts the next call.
+    std::array<uint64_t, StoreReason_COUNT> StoreCallsFor = {}; // Counters: calls to the store, by reason.
+    uint64_t CallsFailed = 0;                                   // Counter: failed calls, and sources left.
 };
 
-// Starts to read everything, then follows.
+// Starts the full read. Long polls follow.
 void StoreReaderStart(StoreReader* reader, EventLoop* loop, Client* client, Random* random);
 
-// Asks the store at once, for another instance that can't.
+// Asks the store at once, on behalf of another instance.
 void StoreReaderAskStore(StoreReader* reader);
 
-// We know nothing, and callers wait for that.
+// Callers wait for the first data; see FollowNeeded().
 void StoreReaderNeeded(StoreReader* reader);
 
-// All calls to the store itself so far.
+// Number of calls to the store so far.
 uint64_t StoreCalls(const StoreReader& reader);
 
 } // namespace Winchlink
--- a/winchlink_internal.h
+++ b/winchlink_internal.h
@@ -1,8 +1,8 @@
-// winchlink_internal.h: what the library's files and the daemon share: strict reading of JSON documents, the checks on rows, the
-// policy. It may change in any release; don't include it from outside.
+// winchlink_internal.h: helpers shared by the library and the daemon: strict JSON reading, checks on rows, target ranking. Not part of the
+// public interface: it may change in any release.
 //
-// How to use it: LoadJson() parses text, OpenObject() starts reading one object, Read...() take its keys, ReportUnknownKeys() ends it.
-// Faults are collected with their key paths; nothing stops at the first one. On a fault the output keeps its former value.
+// How to use it: LoadJson() parses text, OpenObject() starts reading one object, Read...() reads its keys, ReportUnknownKeys() ends it.
+// Faults are collected with their key paths; reading continues after a fault. On a fault the output is left unchanged.
 //
 // Index of this file:
 // [SECTION] Loading
@@ -29,7 +29,7 @@
 
 using JsonPtr = std::unique_ptr<json_t, decltype(&json_decref)>;
 
-// Which codes the faults of one kind of document carry.
+// Codes for the faults of one kind of document.
 struct JsonCodes
 {
     Code_ NotJson = Code_None;
@@ -46,24 +46,24 @@
 inline constexpr JsonCodes PlatformCodes = {Code_PlatformBadAnswer, Code_PlatformBadAnswer, Code_PlatformBadAnswer, Code_PlatformBadAnswer,
                                             Code_PlatformBadAnswer};
 
-// Null and a fault if the text is not JSON or names a key twice.
+// Returns null and adds a fault if the text is not valid JSON or has a duplicate key.
 JsonPtr LoadJson(const std::string& text, const JsonCodes& codes, std::vector<Fault>* faults);
 
 //-----------------------------------------------------------------------------
 // [SECTION] Reading
 //-----------------------------------------------------------------------------
 
-// A JSON object being read; remembers which keys were asked for.
+// A JSON object being read; records which keys were read.
 struct ObjectReader
 {
-    json_t* Object = nullptr;             // Borrowed.
+    json_t* Object = nullptr;             // Not owned.
     std::string Where;                    // Key path; empty at the root.
-    std::vector<Fault>* Faults = nullptr; // Collects.
-    JsonCodes Codes;                      // Codes of this document.
-    std::set<std::string> Known;          // Keys asked for.
+    std::vector<Fault>* Faults = nullptr; // Faults are appended here; not owned.
+    JsonCodes Codes;                      // For the faults of this document.
+    std::set<std::string> Known;          // Keys read so far.
 };
 
-// False and a fault if the value is no object.
+// Returns false and adds a fault if the value is not an object.
 bool OpenObject(json_t* value, const std::string& where, const JsonCodes& codes, std::vector<Fault>* faults, ObjectReader* out);
 
 // Key path of a member.
@@ -76,21 +76,21 @@
 void ReadText(ObjectReader* r, const char* key, bool required, std::string* out);
 void ReadInt(ObjectReader* r, const char* key, bool required, int* out);
 
-// The same, with a fault where the number is outside its range.
+// The same, with a fault if the number is out of range.
 void ReadIntBetween(ObjectReader* r, const char* key, bool required, int least, int most, int* out);
 
-// A number, fractions included, with a fault where it is outside its range.
+// Reads an integer or real number, with a fault if it is out of range.
 void ReadRealBetween(ObjectReader* r, const char* key, bool required, double least, double most, double* out);
 
-// A revision: a whole number from 1.
+// Reads a revision: an integer of at least 1.
 void ReadRevision(ObjectReader* r, const char* key, bool required, uint64_t* out);
 
-// The list under a key, borrowed; null if there is none.
+// The array under a key, owned by the object; null if there is none.
 json_t* ReadList(ObjectReader* r, const char* key, bool required);
 
 void ReadTexts(ObjectReader* r, const char* key, bool required, std::vector<std::string>* out);
 
-// A fault for each key that was not asked for. Call it last.
+// Adds a fault for each key that was not read. Call it last.
 void ReportUnknownKeys(const ObjectReader& r);
 
 // The first fault as an error. Asserts that there is one.
@@ -103,52 +103,52 @@
 json_t* JsonText(const std::string& text);
 json_t* JsonNumber(uint64_t number);
 
-// Writes and releases the value.
+// Serializes the value and releases it.
 std::string DumpJson(json_t* value, size_t flags);
 
 //-----------------------------------------------------------------------------
 // [SECTION] Checks
 //-----------------------------------------------------------------------------
 
-// All checks on one row that need no other row; appends faults with the given key path.
+// Checks on a single row; appends faults with the given key path.
 void CheckRow(const ServiceRow& row, const std::string& where, std::vector<Fault>* faults);
 
-// Checks that need all rows.
+// Checks across rows, such as duplicates.
 void CheckRows(const Table& table, std::vector<Fault>* faults);
 
-// Evacuated data centres must be known by name: a misspelt one would evacuate nothing.
+// Evacuated data centres must be those of some target: a misspelt name would have no effect.
 void CheckEvacuated(const Table& table, std::vector<Fault>* faults);
 
 //-----------------------------------------------------------------------------
 // [SECTION] Hashes
 //-----------------------------------------------------------------------------
 
-// A number that stands for a text; the same text under another purpose has another one.
+// 64-bit hash of a text. `purpose` is a prefix that separates the ids of different kinds of text.
 uint64_t HashId(const char* purpose, const std::string& text);
 
 //-----------------------------------------------------------------------------
 // [SECTION] Policy
 //-----------------------------------------------------------------------------
 
-// A place among equals. The least of several draws is a target's with a chance that grows with its weight.
+// A random order value. A target's chance to have the lowest value among several targets is in proportion to its weight.
 int64_t PoolDrawOrder(const PoolTarget& target, Random* random);
 
-// Whether nothing is known of the target that sets it apart from others of its group, and nothing of ours is there.
+// Whether the target has no state that distinguishes it from others of its group, and no request of this instance in flight.
 bool PoolAtRest(const TargetPool& pool, const PoolTarget& target, TimeUs now);
 
-// What a target's cold start means for this instance.
+// Whether a target's warm-up limits the requests that this instance may send to it.
 enum PoolCold_ : int
 {
-    PoolCold_None,    // It is warm, or nothing is said of what it bears.
-    PoolCold_OurTurn, // It may have one request of ours now.
-    PoolCold_NotOurs, // It is left to other instances for now.
+    PoolCold_None,    // It is warm, or its service has no limit for cold targets.
+    PoolCold_OurTurn, // It is cold, and this instance may send one request now.
+    PoolCold_NotOurs, // It is cold, and this instance may not send one yet.
     PoolCold_COUNT,
 };
 
 PoolCold_ PoolColdState(const TargetPool& pool, const PoolTarget& target, TimeUs now);
 
-// Where a target stands among those that may be asked, the lowest first: trust, near or far and whether it is good, cost, new ones first
-// unless `had_new`, and its place among equals.
+// Sort key of a target among those that may be probed, lowest first: reliability, combined locality and cost class, cost, new targets first
+// unless `had_new`, and PoolTarget::Order.
 using PoolRank = std::tuple<int, int, double, int, int64_t>;
 
 PoolRank PoolRankOf(const TargetPool& pool, const PoolTarget& target, bool had_new, bool careful, TimeUs now);
