--- a/gateway/store_reader.h
+++ b/gateway/store_reader.h
@@ -31,7 +31,7 @@
 struct StorePage
 {
     std::vector<StoreItem> Items;
-    std::vector<Error> Nameless;        // Items without a key; they are logged and skipped.
+    std::vector<Error> Nameless;        // Items without a usable key; they are logged and skipped.
     bool More = false;                  // Another page follows.
     uint64_t At = 0;                    // Store revision of the data.
     TimeUs AgeUs = 0;                   // Time since the data was known to be current; 0 from the store itself.
