--- a/gateway/attempt.cpp
+++ b/gateway/attempt.cpp
@@ -28,20 +28,20 @@
 
 enum Verdict_ : int
 {
-    Verdict_Pass,   // Pass the answer on.
+    Verdict_Relay,  // Pass the answer on.
     Verdict_NotRun, // The target did not get the request, or did not run it.
     Verdict_Lost,   // It may have been run, and there is no answer.
     Verdict_COUNT,
 };
 
-static bool SaysNotExecuted(const Forwarder& forwarder, const ClientAnswer& answer)
+static bool IsNotExecuted(const Forwarder& forwarder, const ClientAnswer& answer)
 {
     constexpr int wrong_target = 421; // Another target at that address than the one that the request was meant for.
-    constexpr int least_error = 400;  // A success was run, whatever else it says.
+    constexpr int min_error = 400;  // A success was run, whatever else it says.
     const WireNames& names = forwarder.Names;
     const std::string* said = FindHeader(answer.Headers, names.NotExecuted);
     const bool says = said != nullptr && (names.NotExecutedValue.empty() || *said == names.NotExecutedValue);
-    return answer.End == ClientEnd_Answered && (answer.Status == wrong_target || (says && answer.Status >= least_error));
+    return answer.End == ClientEnd_Answered && (answer.Status == wrong_target || (says && answer.Status >= min_error));
 }
 
 // A success that does not carry what only a target can give is no success, and neither is a body in another encoding.
@@ -52,19 +52,19 @@
 }
 
 // The caller would read these as "not run", and the target did not say so.
-static bool IsFalsePromise(int status)
+static bool ImpliesNotRun(int status)
 {
     return status == 408 || status == 429 || status == 503;
 }
 
-static Verdict_ Judge(const Forwarder& forwarder, const ClientAnswer& answer)
+static Verdict_ ClassifyAnswer(const Forwarder& forwarder, const ClientAnswer& answer)
 {
-    if (answer.End == ClientEnd_NotConnected || answer.End == ClientEnd_HeldBack || SaysNotExecuted(forwarder, answer))
+    if (answer.End == ClientEnd_NotConnected || answer.End == ClientEnd_Withheld || IsNotExecuted(forwarder, answer))
     {
         return Verdict_NotRun;
     }
-    const bool good = answer.End == ClientEnd_Answered && IsGenuine(forwarder, answer) && !IsFalsePromise(answer.Status);
-    return good ? Verdict_Pass : Verdict_Lost;
+    const bool good = answer.End == ClientEnd_Answered && IsGenuine(forwarder, answer) && !ImpliesNotRun(answer.Status);
+    return good ? Verdict_Relay : Verdict_Lost;
 }
 
 //-----------------------------------------------------------------------------
@@ -72,7 +72,7 @@
 //-----------------------------------------------------------------------------
 
 // What a request of the route takes at a target of cost 1, and how much slower nearly full targets are.
-static void LearnWork(Call* call, const Attempt& attempt, TimeUs took)
+static void LearnWorkTime(Call* call, const Attempt& attempt, TimeUs took)
 {
     constexpr double gain = 0.05; // Of the latest answer; work varies by a third and more.
     double& mean = call->Work->MeanUs;
@@ -99,7 +99,7 @@
     return PoolFindEntry(&call.Service->Pool, attempt.Target, attempt.Entry);
 }
 
-void BlameTargets(const Call& call)
+void PenalizeTargets(const Call& call)
 {
     for (const Attempt& attempt : call.Active)
     {
@@ -112,14 +112,14 @@
 }
 
 // The target has one request of ours less.
-static void Release(PoolTarget* target, const Attempt& attempt)
+static void ReleaseSlot(PoolTarget* target, const Attempt& attempt)
 {
     const bool unreported = target->ReportUs < attempt.SentUs && target->Since > 0;
     target->InFlight--;
     target->Since -= unreported ? 1 : 0;
 }
 
-static void Learn(const CallPtr& call, const Attempt& attempt, const ClientAnswer& answer, Verdict_ verdict)
+static void LearnFromAnswer(const CallPtr& call, const Attempt& attempt, const ClientAnswer& answer, Verdict_ verdict)
 {
     Forwarder* forwarder = call->Owner;
     if (FindTargetOf(*call, attempt) != nullptr && answer.End == ClientEnd_Answered && answer.Status == 421)
@@ -132,19 +132,19 @@
     {
         return;
     }
-    Release(target, attempt);
+    ReleaseSlot(target, attempt);
     const std::optional<LoadReport> report = ReadLoad(*forwarder, answer.Headers);
     if (report)
     {
         call->Service->Pool.TellsLoad = true;
         PoolReport(target, *report, NowUs());
     }
-    if (verdict == Verdict_Pass && answer.Status < 500)
+    if (verdict == Verdict_Relay && answer.Status < 500)
     {
-        LearnWork(call.get(), attempt, answer.TookUs);
+        LearnWorkTime(call.get(), attempt, answer.TookUs);
         PoolGood(target);
     }
-    else if (answer.End != ClientEnd_HeldBack)
+    else if (answer.End != ClientEnd_Withheld)
     {
         PoolFailed(call->Service->Pool.Config, target, NowUs());
     }
@@ -154,7 +154,7 @@
 // [SECTION] What comes next
 //-----------------------------------------------------------------------------
 
-void PassOn(const CallPtr& call, ClientAnswer answer)
+void RelayAnswer(const CallPtr& call, ClientAnswer answer)
 {
     CancelAttempts(call);
     CallerReply reply;
@@ -170,19 +170,19 @@
     EndCall(call, Code_None, "", std::move(reply));
 }
 
-static bool LeftUsAtAll(const ClientAnswer& answer)
+static bool WasSent(const ClientAnswer& answer)
 {
-    return answer.End != ClientEnd_NotConnected && answer.End != ClientEnd_HeldBack;
+    return answer.End != ClientEnd_NotConnected && answer.End != ClientEnd_Withheld;
 }
 
 // Takes one repeat out of `part` of the budget; a refusal is what later explains a failure.
-static bool TakeRepeat(const CallPtr& call, double part)
+static bool TakeRetry(const CallPtr& call, double part)
 {
     const TimeUs now = NowUs();
     const bool taken = RepeatBudgetTake(&call->Service->Repeats, part, now);
     if (taken)
     {
-        call->RepeatTakenUs = now;
+        call->RetryTakenUs = now;
     }
     else
     {
@@ -197,24 +197,24 @@
 }
 
 // Another target may get the request, if the budget allows it. What never left costs nothing.
-static bool MayTryAgain(const CallPtr& call, const ClientAnswer& answer)
+static bool CanRetry(const CallPtr& call, const ClientAnswer& answer)
 {
-    constexpr size_t tries_most = 8; // Connections that fail at once must not be tried for ever.
+    constexpr size_t max_targets = 8; // Connections that fail at once must not be tried for ever.
     const TimeUs now = NowUs();
-    if (LeftUs(*call, now) <= 0 || IsHeld(call.get()) || !KeyHolds(*call))
+    if (LeftUs(*call, now) <= 0 || IsQuarantined(call.get()) || !IsKeyValid(*call))
     {
         return false;
     }
-    if (!LeftUsAtAll(answer))
+    if (!WasSent(answer))
     {
-        return call->Tried.size() < tries_most;
+        return call->Tried.size() < max_targets;
     }
-    const bool allowed = call->Repeatable || call->MayHaveRun == 0;
-    return allowed && call->Attempts < call->Row->AttemptsMost && TakeRepeat(call, 1.0);
+    const bool allowed = call->Retryable || call->MayHaveRun == 0;
+    return allowed && call->Attempts < call->MatchedRoute->AttemptsMost && TakeRetry(call, 1.0);
 }
 
 // A target that refuses though it has free slots is ill, not busy.
-static bool RefusedWithRoom(const Call& call, const ClientAnswer& answer)
+static bool RefusedWithCapacity(const Call& call, const ClientAnswer& answer)
 {
     const std::optional<LoadReport> load = ReadLoad(*call.Owner, answer.Headers);
     return load && load->Running + load->Waiting < load->Slots;
@@ -222,19 +222,19 @@
 
 static void EndUnanswered(const CallPtr& call, const ClientAnswer& answer)
 {
-    if (call->MayHaveRun == 0 && IsHeld(call.get()))
+    if (call->MayHaveRun == 0 && IsQuarantined(call.get()))
     {
-        EndCallHeld(call);
+        EndCallQuarantined(call);
         return;
     }
-    if (call->MayHaveRun == 0 && !KeyHolds(*call))
+    if (call->MayHaveRun == 0 && !IsKeyValid(*call))
     {
         EndCallWith(call, Code_KeyUnknown, "its key was taken away");
         return;
     }
-    if (call->MayHaveRun == 0 && RefusedWithRoom(*call, answer))
+    if (call->MayHaveRun == 0 && RefusedWithCapacity(*call, answer))
     {
-        EndCallWith(call, Code_TargetRefused, answer.Detail, call->Owner->Config.IllRetryUs);
+        EndCallWith(call, Code_TargetRefused, answer.Detail, call->Owner->Config.UnhealthyRetryUs);
         return;
     }
     if (call->MayHaveRun == 0)
@@ -245,13 +245,13 @@
     EndCallWith(call, answer.End == ClientEnd_TimedOut ? Code_DeadlinePassed : Code_OutcomeUnknown, answer.Detail);
 }
 
-static void GoOn(const CallPtr& call, Verdict_ verdict, ClientAnswer answer)
+static void ContinueCall(const CallPtr& call, Verdict_ verdict, ClientAnswer answer)
 {
-    const bool failed = verdict == Verdict_Pass && answer.Status >= 500;
-    const bool done = verdict == Verdict_Pass && !(failed && call->Repeatable);
+    const bool failed = verdict == Verdict_Relay && answer.Status >= 500;
+    const bool done = verdict == Verdict_Relay && !(failed && call->Retryable);
     if (done)
     {
-        PassOn(call, std::move(answer));
+        RelayAnswer(call, std::move(answer));
         return;
     }
     if (!call->Active.empty())
@@ -263,18 +263,18 @@
         call->Choosing = Choosing_First; // The second attempt that is being prepared is the only one now.
         return;
     }
-    if (MayTryAgain(call, answer))
+    if (CanRetry(call, answer))
     {
-        if (verdict == Verdict_Pass)
+        if (verdict == Verdict_Relay)
         {
-            call->Kept = std::move(answer);
+            call->FailedAnswer = std::move(answer);
         }
         ChooseTarget(call, Choosing_First);
         return;
     }
-    if (verdict == Verdict_Pass || call->Kept)
+    if (verdict == Verdict_Relay || call->FailedAnswer)
     {
-        PassOn(call, verdict == Verdict_Pass ? std::move(answer) : std::move(*call->Kept));
+        RelayAnswer(call, verdict == Verdict_Relay ? std::move(answer) : std::move(*call->FailedAnswer));
         return;
     }
     EndUnanswered(call, answer);
@@ -299,7 +299,7 @@
         {{"requestId", call->Id},
          {"request", CallKey(call)},
          {"service", call->ServiceName},
-         {"target", call->Last.Target},
+         {"target", call->LastAttempt.Target},
          {"attempt", call->Attempts},
          {"tookUs", answer.TookUs},
          {"status", answer.Status},
@@ -308,34 +308,34 @@
 
 static void OnAnswer(const CallPtr& call, const std::string& target, ClientAnswer answer)
 {
-    call->Last = TakeAttempt(call.get(), target);
-    const Verdict_ verdict = Judge(*call->Owner, answer);
+    call->LastAttempt = TakeAttempt(call.get(), target);
+    const Verdict_ verdict = ClassifyAnswer(*call->Owner, answer);
     if (verdict == Verdict_Lost)
     {
         LogLost(call.get(), answer);
     }
     if (answer.End == ClientEnd_Lost || answer.End == ClientEnd_Broken)
     {
-        LookWhetherEnded(call.get(), call->Last);
+        CheckForCrash(call.get(), call->LastAttempt);
     }
     else if (answer.End == ClientEnd_TimedOut)
     {
-        NoteSilent(call.get(), call->Last);
+        RecordUnanswered(call.get(), call->LastAttempt);
     }
-    if (!LeftUsAtAll(answer))
+    if (!WasSent(answer))
     {
         call->Attempts--;
-        QuotaReturn(&call->Owner->TargetLimits, call->Last.Grant.LifeId, call->Last.Grant.TakenUs);
+        QuotaReturn(&call->Owner->TargetLimits, call->LastAttempt.Grant.LifeId, call->LastAttempt.Grant.TakenUs);
     }
     call->MayHaveRun += verdict == Verdict_NotRun ? 0 : 1;
-    if (verdict == Verdict_Pass && answer.Status < 500)
+    if (verdict == Verdict_Relay && answer.Status < 500)
     {
         NoteAnswered(call.get());
     }
-    Learn(call, call->Last, answer, verdict);
+    LearnFromAnswer(call, call->LastAttempt, answer, verdict);
     if (!call->Ended)
     {
-        GoOn(call, verdict, std::move(answer));
+        ContinueCall(call, verdict, std::move(answer));
     }
     ServeWaiting(call->Service, target);
 }
@@ -348,7 +348,7 @@
 {
     const WireNames& names = call.Owner->Names;
     std::vector<Header> headers;
-    for (const Header& header : call.From->Headers)
+    for (const Header& header : call.Inbound->Headers)
     {
         const bool ours =
             SameHeader(header.Name, names.Deadline) || SameHeader(header.Name, names.ExpectedTarget) || SameHeader(header.Name, "Expect");
@@ -374,11 +374,11 @@
 {
     ClientRequest request;
     request.Address = target.Address;
-    request.Method = call->From->Method;
-    request.Target = call->From->Target;
+    request.Method = call->Inbound->Method;
+    request.Target = call->Inbound->Target;
     request.Headers = HeadersForTarget(*call, target.Id, now);
-    request.HasBody = !call->From->Body.empty() || call->From->Method == "POST" || call->From->Method == "PUT";
-    request.Body = call->From->Body;
+    request.HasBody = !call->Inbound->Body.empty() || call->Inbound->Method == "POST" || call->Inbound->Method == "PUT";
+    request.Body = call->Inbound->Body;
     request.TimeoutUs = LeftUs(*call, now) + UsPerSecond; // The call's own deadline comes first.
     request.ConnectUs = call->Owner->Config.ConnectUs;
     // Right before the request leaves: news since the choice may stop it.
@@ -386,7 +386,7 @@
     {
         const PoolTarget* found = PoolFindEntry(&call->Service->Pool, id, entry);
         const bool usable = found != nullptr && PoolMayUse(*found, NowUs());
-        return !call->Ended && LeftUs(*call, NowUs()) > 0 && usable && !IsHeld(call.get()) && KeyHolds(*call);
+        return !call->Ended && LeftUs(*call, NowUs()) > 0 && usable && !IsQuarantined(call.get()) && IsKeyValid(*call);
     };
     request.Fits = [call](const std::vector<Header>& headers)
     {
@@ -401,54 +401,54 @@
 }
 
 // The first attempt takes much longer than expected: its target is avoided for a while, and the request goes to a second one as well.
-static void OnSlow(const CallPtr& call)
+static void OnSlowAttempt(const CallPtr& call)
 {
-    call->Slow = nullptr;
+    call->HedgeTimer = nullptr;
     if (call->Active.size() != 1 || call->Choosing != Choosing_None)
     {
         return;
     }
     const TimeUs now = NowUs();
-    BlameTargets(*call);
+    PenalizeTargets(*call);
     const bool time_left = static_cast<double>(LeftUs(*call, now)) > call->Work->MeanUs;
-    if (!call->Repeatable || call->Attempts >= call->Row->AttemptsMost || !time_left || !KeyHolds(*call))
+    if (!call->Retryable || call->Attempts >= call->MatchedRoute->AttemptsMost || !time_left || !IsKeyValid(*call))
     {
         return;
     }
-    if (TakeRepeat(call, call->Owner->Config.SecondShare))
+    if (TakeRetry(call, call->Owner->Config.HedgeShare))
     {
-        ChooseTarget(call, Choosing_Second);
+        ChooseTarget(call, Choosing_Hedge);
     }
 }
 
 // Looks again when the attempt has taken much longer than expected.
-static void WatchForSlowness(const CallPtr& call, const Attempt& attempt)
+static void StartHedgeTimer(const CallPtr& call, const Attempt& attempt)
 {
     const auto patience = static_cast<TimeUs>(call->Owner->Config.SlowFactor * attempt.ExpectedUs);
     if (patience > 0)
     {
         const TimeUs left = attempt.SentUs + patience - NowUs();
-        call->Slow = TimerStart(call->Owner->Loop, left, [call]() { OnSlow(call); });
+        call->HedgeTimer = TimerStart(call->Owner->Loop, left, [call]() { OnSlowAttempt(call); });
     }
 }
 
-void GiveRepeatBack(Call* call)
+void ReturnRetry(Call* call)
 {
-    if (call->RepeatTakenUs > 0)
+    if (call->RetryTakenUs > 0)
     {
-        RepeatBudgetReturn(&call->Service->Repeats, call->RepeatTakenUs);
-        call->RepeatTakenUs = 0;
+        RepeatBudgetReturn(&call->Service->Repeats, call->RetryTakenUs);
+        call->RetryTakenUs = 0;
     }
 }
 
-void SecondAgain(const CallPtr& call)
+void RetryHedgeLater(const CallPtr& call)
 {
-    GiveRepeatBack(call.get());
-    GiveGrantsBack(call.get());
-    call->Slow = TimerStart(call->Owner->Loop, call->Owner->Config.SecondAgainUs, [call]() { OnSlow(call); });
+    ReturnRetry(call.get());
+    ReturnGrants(call.get());
+    call->HedgeTimer = TimerStart(call->Owner->Loop, call->Owner->Config.HedgeRetryUs, [call]() { OnSlowAttempt(call); });
 }
 
-void GiveGrantsBack(Call* call)
+void ReturnGrants(Call* call)
 {
     for (const LimitGrant& grant : call->Grants)
     {
@@ -471,7 +471,7 @@
         taken = *found;
         call->Grants.erase(found);
     }
-    GiveGrantsBack(call);
+    ReturnGrants(call);
     return taken;
 }
 
@@ -493,13 +493,13 @@
 
 void SendTo(const CallPtr& call, PoolTarget* target)
 {
-    assert((call->Repeatable || (call->MayHaveRun == 0 && call->Active.empty())) && "it may not be repeated, and may have been run");
+    assert((call->Retryable || (call->MayHaveRun == 0 && call->Active.empty())) && "it may not be repeated, and may have been run");
     const TimeUs now = NowUs();
     Attempt attempt = MakeAttempt(*call, *target, now);
     call->Choosing = Choosing_None;
     call->Tried.push_back(target->Id);
     call->Attempts++;
-    call->RepeatTakenUs = 0;
+    call->RetryTakenUs = 0;
     attempt.Grant = TakeGrant(call.get(), *target);
     PoolSent(&call->Service->Pool, target);
     const std::string id = target->Id;
@@ -508,7 +508,7 @@
     call->Active.push_back(attempt);
     if (call->Active.size() == 1)
     {
-        WatchForSlowness(call, attempt);
+        StartHedgeTimer(call, attempt);
     }
 }
 
@@ -520,11 +520,11 @@
     for (const Attempt& attempt : active)
     {
         ClientCancel(call->Owner->Targets, attempt.Id);
-        call->Last = attempt;
+        call->LastAttempt = attempt;
         PoolTarget* target = FindTargetOf(*call, attempt);
         if (target != nullptr)
         {
-            Release(target, attempt);
+            ReleaseSlot(target, attempt);
         }
     }
 }
--- a/gateway/call.h
+++ b/gateway/call.h
@@ -1,14 +1,14 @@
-// call.h: one caller's request inside an instance, as the parts of the forwarder share it (forward.cpp, choose.cpp, attempt.cpp).
+// call.h: state of one caller's request, shared by the parts of the forwarder (forward.cpp, choose.cpp, attempt.cpp, held.cpp).
 //
-// A Call is held by the callbacks that will move it on. It ends exactly once, in EndCall(); whatever comes later for it is only learnt
-// from.
+// A Call is kept alive by the callbacks that refer to it. It ends exactly once, in EndCall(); events that arrive afterwards only update
+// statistics and the state of targets.
 //
 // Index of this file:
 // [SECTION] Call
-// [SECTION] Ends (forward.cpp)
+// [SECTION] Ending a call (forward.cpp)
 // [SECTION] Choosing a target (choose.cpp)
 // [SECTION] Sending (attempt.cpp)
-// [SECTION] Requests that end targets (held.cpp)
+// [SECTION] Requests that crash targets (held.cpp)
 
 #pragma once
 
@@ -21,77 +21,77 @@
 // [SECTION] Call
 //-----------------------------------------------------------------------------
 
-// A request that counts against a target's limit, see QuotaTakeNamed().
+// A request counted against a target's rate limit, see QuotaTakeNamed().
 struct LimitGrant
 {
-    uint64_t LifeId = 0; // Of the target; 0: none.
-    TimeUs TakenUs = 0;  // When it was counted.
+    uint64_t LifeId = 0; // Id of the target's incarnation, see TargetLifeId(); 0 if the request is not counted.
+    TimeUs TakenUs = 0;  // Time at which it was counted.
 };
 
-// One send to one target.
+// One attempt: the request sent to one target.
 struct Attempt
 {
-    uint64_t Id = 0;         // Of the client's call.
-    std::string Target;      // Which target.
-    std::string Address;     // Where it is.
-    uint64_t Life = 0;       // Which start of it.
-    uint64_t Entry = 0;      // Its entry into the pool: it may have left and come back since.
-    TimeUs SentUs = 0;       // When it began.
-    LoadReport Report;       // The target's load as it was known when it was chosen.
-    TimeUs ReportUs = 0;     // When that was told; 0: never.
-    bool NearlyFull = false; // It made the target nearly full.
-    double ExpectedUs = 0;   // How long it was expected to take; 0: nothing was known.
-    LimitGrant Grant;        // What it counts for at the target's limit.
+    uint64_t Id = 0;         // Id returned by ClientSend().
+    std::string Target;      // Id of the target.
+    std::string Address;     // IP:port of the target.
+    uint64_t Life = 0;       // Incarnation of the target.
+    uint64_t Entry = 0;      // Pool entry of the target, see PoolTarget::Entry.
+    TimeUs SentUs = 0;       // Start of the attempt.
+    LoadReport Report;       // Last known load of the target when it was chosen.
+    TimeUs ReportUs = 0;     // Time of that report; 0 if none.
+    bool NearlyFull = false; // The target was nearly full with this request.
+    double ExpectedUs = 0;   // Expected duration; 0 if unknown.
+    LimitGrant Grant;        // Its share of the target's rate limit.
 };
 
 enum Choosing_ : int
 {
-    Choosing_None,   // No target is wanted.
-    Choosing_First,  // For the request, or for its next attempt after one has failed.
-    Choosing_Second, // For a second attempt beside a slow first one: only what is good at once.
+    Choosing_None,  // No target is being chosen.
+    Choosing_First, // For the first attempt, or for a retry after a failed one.
+    Choosing_Hedge, // For a hedged request: no waiting for busy targets.
     Choosing_COUNT,
 };
 
 struct Call
 {
     Forwarder* Owner = nullptr;
-    ExchangePtr From;
-    RoutePlanPtr Plan;          // Keeps Row and Spec alive.
-    const Route* Row = nullptr; // Null if no route fits.
+    ExchangePtr Inbound;
+    RoutePlanPtr Plan;                   // Keeps MatchedRoute and Spec alive.
+    const Route* MatchedRoute = nullptr; // Null if no route matches.
     const ServiceInfo* Spec = nullptr;
-    ServiceState* Service = nullptr; // Null before a service is chosen.
-    RouteWork* Work = nullptr;       //
-    std::string ServiceName;         //
-    std::string Id;                  // The caller's.
-    std::string Key;                 // What is the same at every try of the request, see CallKey(); empty until it is wanted.
-    bool Repeatable = false;         // It may be run more than once.
-    const Customer* By = nullptr;    // Whose request it is; null if nobody's key was given, or none is needed.
-    KeyHash ByKey = {};              // By which of its keys.
-    TimeUs QuotaTakenUs = 0;         // When it was counted against its customer's quota; 0: it was not.
-    TimeUs CallerUntilUs = 0;        // The caller waits until then, over all of its tries.
-    TimeUs DeadlineUs = 0;           // Answered by then.
-    TimeUs ChooseUntilUs = 0;        // A target is chosen by then, or the request refused.
+    ServiceState* Service = nullptr; // Null until a service is chosen.
+    RouteWork* Work = nullptr;
+    std::string ServiceName;
+    std::string Id;               // Request id, from the caller or generated.
+    std::string Key;              // Identifies the request across the caller's tries, see CallKey(); empty until first used.
+    bool Retryable = false;       // The request may be run more than once.
+    const Customer* By = nullptr; // Customer whose key came with the request; null if there is none.
+    KeyHash ByKey = {};           // Hash of that key.
+    TimeUs QuotaTakenUs = 0;      // Time at which it was counted against its customer's quota; 0 if it was not.
+    TimeUs CallerDeadlineUs = 0;  // Deadline named by the caller; retry advice stays within it.
+    TimeUs DeadlineUs = 0;        // Deadline of this call: the earlier of the caller's deadline and the route's timeout.
+    TimeUs ChooseDeadlineUs = 0;  // End of the time for choosing a target.
     Choosing_ Choosing = Choosing_None;
-    std::vector<std::string> Asked;     // Targets asked in this round.
-    std::vector<std::string> Tried;     // Targets that it was sent to.
-    std::vector<std::string> OverLimit; // Targets asked or considered in this round that are at their limits.
-    std::vector<LimitGrant> Grants;     // Of targets that it may be sent to; given back if it isn't.
-    int Asking = 0;                     // Questions without an answer.
-    int AsksMade = 0;                   // Questions in all.
-    int AsksBefore = 0;                 // Of those, for former attempts.
-    int AsksAtOnce = 1;                 // Questions without an answer, at the most: more when one takes longer than usual.
-    std::vector<Attempt> Active;        // Attempts in progress, two at the most.
-    Attempt Last;                       // The latest attempt that ended, for the log.
-    int Attempts = 0;                   // Sends that reached, or may have reached, a target.
-    TimeUs RepeatTakenUs = 0;           // When a repeat was taken out of the budget for an attempt that has not begun; 0: none is.
-    int MayHaveRun = 0;                 // Of those that have ended, attempts that may have been run.
-    std::optional<ClientAnswer> Kept;   // A target's failure, passed on if no other attempt comes to more.
-    TimeUs ToldWaitUs = 0;              // When the refused caller was told to come back, from now; for the log.
-    bool Ended = false;                 // The caller has been answered.
-    Timer Deadline;                     // Ends it at DeadlineUs.
-    Timer Patience;                     // A question takes longer than usual.
-    Timer Again;                        // Asks again after all targets were busy.
-    Timer Slow;                         // The first attempt takes longer than expected.
+    std::vector<std::string> Probed;    // Targets considered in this round of choosing.
+    std::vector<std::string> Tried;     // Targets to which the request was sent.
+    std::vector<std::string> OverLimit; // Targets skipped in this round because they are at their rate limits.
+    std::vector<LimitGrant> Grants;     // Taken for candidate targets; those not used are returned.
+    int ProbesInFlight = 0;             // Probes that await an answer.
+    int ProbeCount = 0;                 // Probes so far, for all attempts.
+    int ProbeCountBefore = 0;           // Value of ProbeCount when this round began.
+    int MaxConcurrentProbes = 1;        // Grows by one for each slow probe.
+    std::vector<Attempt> Active;        // Attempts in flight: at most the first one and its hedge.
+    Attempt LastAttempt;                // The attempt that ended last; for the log.
+    int Attempts = 0;                   // Attempts that reached, or may have reached, a target.
+    TimeUs RetryTakenUs = 0;            // Time at which a retry was taken from the budget for an attempt that has not begun; 0 if none.
+    int MayHaveRun = 0;                 // Ended attempts that a target may have run.
+    std::optional<ClientAnswer> FailedAnswer; // Error response of a target; relayed if no other attempt succeeds.
+    TimeUs RetryAfterUs = 0;                  // Retry-After sent with a refusal; for the log.
+    bool Ended = false;                       // The caller was answered, or has gone.
+    Timer DeadlineTimer;                      // Fires at DeadlineUs; before there is a plan, when FirstPlanUs ends.
+    Timer SlowProbeTimer;                     // Fires when a probe is slow.
+    Timer Again;                              // Probes again after all targets were busy.
+    Timer HedgeTimer;                         // Fires when the first attempt is slow, or when a hedge is to be tried again.
 };
 
 using CallPtr = std::shared_ptr<Call>;
@@ -102,35 +102,36 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Ends (forward.cpp)
+// [SECTION] Ending a call (forward.cpp)
 //-----------------------------------------------------------------------------
 
-// Answers the caller. Call it once.
+// Answers the caller. Must be called exactly once for each call.
 void EndCall(const CallPtr& call, Code_ code, const std::string& detail, CallerReply reply);
 
-// Our own answer, with the status that goes with the code. Asserts that "not run" is true where the status promises it.
+// Answers with the HTTP status of the code. Asserts that no target may have run the request where that status implies "not run".
 void EndCallWith(const CallPtr& call, Code_ code, const std::string& detail, TimeUs retry_after = 0);
 
-// Refuses a request that has not run because targets are busy, and tells the caller when there may be room.
+// Refuses a request that has not run because targets are busy; Retry-After says when there may be capacity.
 void EndCallBusy(const CallPtr& call, Code_ code, const std::string& detail);
 
-// Whether the plan in force still knows the key that the request came with: customers' keys may be taken away while it waits.
-bool KeyHolds(const Call& call);
+// Whether the request's API key is still valid in the current plan: keys can be revoked while a request waits.
+bool IsKeyValid(const Call& call);
 
-// Who gives way to whom: 0 is the most urgent.
+// Priority of the request: the customer's, else the route's. 0 is the most urgent.
 inline int PriorityOf(const Call& call)
 {
-    return call.By != nullptr && call.By->Priority ? *call.By->Priority : call.Row->Priority;
+    return call.By != nullptr && call.By->Priority ? *call.By->Priority : call.MatchedRoute->Priority;
 }
 
 //-----------------------------------------------------------------------------
 // [SECTION] Choosing a target (choose.cpp)
 //-----------------------------------------------------------------------------
 
-// Chooses a target and sends, or ends the call. For a second attempt it only sends, or does nothing.
+// Chooses a target and sends the request to it, or ends the call. If no target is found for a hedge, the call goes on and the hedge is
+// tried again later.
 void ChooseTarget(const CallPtr& call, Choosing_ choosing);
 
-// A slot of that target has come free: the most urgent of the requests that wait gets it, the longest waiting of equals.
+// Call when a slot of the target has come free. The most urgent waiting request gets it; among equals, the one that has waited longest.
 void ServeWaiting(ServiceState* service, const std::string& target_id);
 
 //-----------------------------------------------------------------------------
@@ -140,51 +141,50 @@
 // Sends the request to the target.
 void SendTo(const CallPtr& call, PoolTarget* target);
 
-// Passes a target's answer on.
-void PassOn(const CallPtr& call, ClientAnswer answer);
+// Relays a target's answer to the caller and ends the call.
+void RelayAnswer(const CallPtr& call, ClientAnswer answer);
 
-// No target was found for a second attempt: looks again in a while.
-void SecondAgain(const CallPtr& call);
+// No target was found for a hedge: tries again after HedgeRetryUs.
+void RetryHedgeLater(const CallPtr& call);
 
-// A repeat that was taken out of the budget and not sent can be had by others. Without that, each second attempt whose first was answered
-// while its target was chosen cost one, of 1.2 in ten seconds where a service has few requests.
-void GiveRepeatBack(Call* call);
+// Returns a retry that was taken from the budget but not sent.
+void ReturnRetry(Call* call);
 
-// It counts no more against the limits of targets that it was not sent to.
-void GiveGrantsBack(Call* call);
+// Returns what was counted against the rate limits of targets that the request was not sent to.
+void ReturnGrants(Call* call);
 
-// Targets of the attempts in progress are avoided for a while: they did not answer in time.
-void BlameTargets(const Call& call);
+// Counts a failure against the targets of all attempts in flight: they did not answer in time.
+void PenalizeTargets(const Call& call);
 
-// The load in a target's answer; none where it tells none.
+// The load report in a target's answer; none if it has none.
 std::optional<LoadReport> ReadLoad(const Forwarder& forwarder, const std::vector<Header>& headers);
 
-// Ends all attempts in progress, and so the targets' work.
+// Cancels all attempts in flight. Their connections are closed, so that the targets can stop the work.
 void CancelAttempts(const CallPtr& call);
 
 //-----------------------------------------------------------------------------
-// [SECTION] Requests that end targets (held.cpp)
+// [SECTION] Requests that crash targets (held.cpp)
 //-----------------------------------------------------------------------------
 
-// See RequestKey(); made when it is first wanted.
+// Key that identifies the request across the caller's tries, see RequestKey(). Computed on first use.
 const std::string& CallKey(Call* call);
 
-// Whether the request may be sent to no target now, because it has ended several.
-bool IsHeld(Call* call);
+// Whether the request is quarantined: it must not be sent, as several targets crashed while they ran it.
+bool IsQuarantined(Call* call);
 
-// Refuses a request that is held and has not run.
-void EndCallHeld(const CallPtr& call);
+// Refuses a request that is quarantined and has not run.
+void EndCallQuarantined(const CallPtr& call);
 
-// The attempt's connection ended without an answer: if its target has ended, that counts against the request.
-void LookWhetherEnded(Call* call, const Attempt& attempt);
+// Call when the attempt's connection closed without an answer. Checks whether the target has crashed; a crash counts against the request.
+void CheckForCrash(Call* call, const Attempt& attempt);
 
-// The attempt ends without an answer. If its target turns out to have ended, that counts against the request.
-void NoteSilent(Call* call, const Attempt& attempt);
+// Call when the attempt ends without an answer. If the target is later found to have crashed, the crash counts against the request.
+void RecordUnanswered(Call* call, const Attempt& attempt);
 
-// Targets have ended without a word: that counts against what was in progress there and never answered.
-void NoteEndedTargets(Forwarder* forwarder);
+// Counts newly detected crashes against the requests that were in flight at those targets and never answered.
+void NoteCrashedTargets(Forwarder* forwarder);
 
-// The request was answered: no target ends under it.
+// The request was answered: clears crashes recorded against it.
 void NoteAnswered(Call* call);
 
 } // namespace Winchlink
--- a/gateway/choose.cpp
+++ b/gateway/choose.cpp
@@ -17,14 +17,14 @@
 namespace Winchlink
 {
 
-static void AskMore(const CallPtr& call);
+static void ProbeMore(const CallPtr& call);
 
 //-----------------------------------------------------------------------------
 // [SECTION] Learning from answers
 //-----------------------------------------------------------------------------
 
 // `entry`: of the target when it was asked. One that has come back since, or started again, was not asked.
-static void LearnFromAsk(Forwarder* forwarder, ServiceState* service, const std::string& id, uint64_t entry, const ClientAnswer& answer)
+static void LearnFromProbe(Forwarder* forwarder, ServiceState* service, const std::string& id, uint64_t entry, const ClientAnswer& answer)
 {
     PoolTarget* target = PoolFindEntry(&service->Pool, id, entry);
     if (target == nullptr)
@@ -104,7 +104,7 @@
     return false;
 }
 
-static bool HasRoom(Call* call, const PoolTarget& target, TimeUs now)
+static bool HasCapacity(Call* call, const PoolTarget& target, TimeUs now)
 {
     const TargetPool& pool = call->Service->Pool;
     const bool room =
@@ -116,37 +116,37 @@
 static bool IsGood(Call* call, const PoolTarget& target, TimeUs now)
 {
     const TargetPool& pool = call->Service->Pool;
-    return PoolCost(pool, target, now) <= pool.Config.GoodCost && HasRoom(call, target, now);
+    return PoolCost(pool, target, now) <= pool.Config.GoodCost && HasCapacity(call, target, now);
 }
 
 // Whether the request is expected to be answered in time by a target of that cost: within its aim, as it can be refused before it has been
 // sent and may then be served elsewhere; after that, by its deadline.
-static bool InTime(const Call& call, double cost, TimeUs now)
+static bool MeetsDeadline(const Call& call, double cost, TimeUs now)
 {
     const bool sent = call.MayHaveRun > 0 || !call.Active.empty();
-    const TimeUs left = sent ? LeftUs(call, now) : call.From->ArrivedUs + call.Row->AimUs - now;
+    const TimeUs left = sent ? LeftUs(call, now) : call.Inbound->ArrivedUs + call.MatchedRoute->AimUs - now;
     return cost * call.Work->MeanUs < static_cast<double>(left);
 }
 
 // A target passes if it was asked in this round or has had the request already.
-static std::vector<std::string> Passed(const Call& call)
+static std::vector<std::string> ExcludedTargets(const Call& call)
 {
-    std::vector<std::string> all = call.Asked;
+    std::vector<std::string> all = call.Probed;
     all.insert(all.end(), call.Tried.begin(), call.Tried.end());
     return all;
 }
 
-static void Refuse(const CallPtr& call, Code_ code, const std::string& detail)
+static void RejectOrFallBack(const CallPtr& call, Code_ code, const std::string& detail)
 {
     call->Choosing = Choosing_None;
     if (!call->Active.empty())
     {
-        SecondAgain(call);
+        RetryHedgeLater(call);
         return;
     }
-    if (call->Kept)
+    if (call->FailedAnswer)
     {
-        PassOn(call, std::move(*call->Kept));
+        RelayAnswer(call, std::move(*call->FailedAnswer));
         return;
     }
     if (call->MayHaveRun > 0)
@@ -164,15 +164,15 @@
 }
 
 // The cheapest of those asked that have room; null if none has.
-static PoolTarget* BestAsked(Call* call, TimeUs now)
+static PoolTarget* BestProbed(Call* call, TimeUs now)
 {
     TargetPool& pool = call->Service->Pool;
     PoolTarget* best = nullptr;
-    for (const std::string& id : call->Asked)
+    for (const std::string& id : call->Probed)
     {
         PoolTarget* target = PoolFind(&pool, id);
         const bool told = target != nullptr && target->ReportUs > 0 && now < target->ReportUs + pool.Config.ReportUs;
-        const bool usable = told && HasRoom(call, *target, now);
+        const bool usable = told && HasCapacity(call, *target, now);
         if (usable && (best == nullptr || PoolCost(pool, *target, now) < PoolCost(pool, *best, now)))
         {
             best = target;
@@ -181,22 +181,22 @@
     return best;
 }
 
-static void AskAgain(const CallPtr& call)
+static void ProbeAgain(const CallPtr& call)
 {
     call->Again = nullptr;
-    if (NowUs() < call->ChooseUntilUs)
+    if (NowUs() < call->ChooseDeadlineUs)
     {
-        call->Asked.clear();
+        call->Probed.clear();
         call->OverLimit.clear();
     }
-    AskMore(call);
+    ProbeMore(call);
 }
 
-// Whether all targets that came into question have asked to be spared: none of them comes free while the request could wait.
-static bool AllSpared(const Call& call, TimeUs now)
+// Whether all targets that came into question have asked to be limited: none of them comes free while the request could wait.
+static bool AllLimited(const Call& call, TimeUs now)
 {
-    const bool all_over_limit = !call.OverLimit.empty() && call.OverLimit.size() == call.Asked.size();
-    return all_over_limit || (call.Asked.empty() && PoolBackoffEnds(call.Service->Pool, now));
+    const bool all_over_limit = !call.OverLimit.empty() && call.OverLimit.size() == call.Probed.size();
+    return all_over_limit || (call.Probed.empty() && PoolBackoffEnds(call.Service->Pool, now));
 }
 
 // All targets that may be asked were asked, and none is good.
@@ -204,12 +204,12 @@
 {
     const ForwardConfig& config = call->Owner->Config;
     const TimeUs now = NowUs();
-    PoolTarget* best = BestAsked(call.get(), now);
+    PoolTarget* best = BestProbed(call.get(), now);
     const double cost = best != nullptr ? PoolCost(call->Service->Pool, *best, now) : 0;
-    const bool in_time = best != nullptr && InTime(*call, cost, now);
+    const bool in_time = best != nullptr && MeetsDeadline(*call, cost, now);
     const bool any = !call->Service->Pool.Targets.empty();
-    const bool spared = AllSpared(*call, now);
-    const bool may_wait = any && !spared && call->Choosing == Choosing_First && now + config.AskAgainUs < call->ChooseUntilUs;
+    const bool limited = AllLimited(*call, now);
+    const bool may_wait = any && !limited && call->Choosing == Choosing_First && now + config.AskAgainUs < call->ChooseDeadlineUs;
     const bool settles = in_time && PoolSettles(call->Service->Pool, *best, now);
     if (settles || (in_time && !may_wait))
     {
@@ -218,21 +218,21 @@
     }
     if (may_wait)
     {
-        call->Again = TimerStart(call->Owner->Loop, config.AskAgainUs, [call]() { AskAgain(call); });
+        call->Again = TimerStart(call->Owner->Loop, config.AskAgainUs, [call]() { ProbeAgain(call); });
         call->Service->Waiting.push_back(call);
         return;
     }
-    const Code_ code = spared ? Code_TargetsLimited : call->AsksMade == 0 ? Code_NoTargetLeft : Code_TargetsBusy;
-    Refuse(call, code, best != nullptr ? "too slow" : "");
+    const Code_ code = limited ? Code_TargetsLimited : call->ProbeCount == 0 ? Code_NoTargetLeft : Code_TargetsBusy;
+    RejectOrFallBack(call, code, best != nullptr ? "too slow" : "");
 }
 
 //-----------------------------------------------------------------------------
 // [SECTION] Asking
 //-----------------------------------------------------------------------------
 
-static void OnAsked(const CallPtr& call, const std::string& id, bool answered)
+static void OnProbed(const CallPtr& call, const std::string& id, bool answered)
 {
-    call->Asking--;
+    call->ProbesInFlight--;
     if (call->Choosing == Choosing_None || call->Again)
     {
         return;
@@ -244,22 +244,21 @@
         SendTo(call, target);
         return;
     }
-    AskMore(call);
+    ProbeMore(call);
 }
 
-static void OnAnswerToQuestion(Forwarder* forwarder, ServiceState* service, const std::string& id, uint64_t entry,
-                               const ClientAnswer& answer)
+static void OnProbeAnswer(Forwarder* forwarder, ServiceState* service, const std::string& id, uint64_t entry, const ClientAnswer& answer)
 {
     const std::vector<CallPtr> askers = std::move(service->Questions[id]);
     service->Questions.erase(id);
-    LearnFromAsk(forwarder, service, id, entry, answer);
+    LearnFromProbe(forwarder, service, id, entry, answer);
     for (const CallPtr& asker : askers)
     {
-        OnAsked(asker, id, answer.End == ClientEnd_Answered);
+        OnProbed(asker, id, answer.End == ClientEnd_Answered);
     }
 }
 
-static void SendQuestion(const Call& call, const PoolTarget& target)
+static void SendProbe(const Call& call, const PoolTarget& target)
 {
     Forwarder* forwarder = call.Owner;
     ServiceState* service = call.Service;
@@ -285,45 +284,45 @@
     };
     ClientSend(forwarder->Targets, std::move(request),
                [forwarder, service, id, entry = target.Entry](const ClientAnswer& answer)
-               { OnAnswerToQuestion(forwarder, service, id, entry, answer); });
+               { OnProbeAnswer(forwarder, service, id, entry, answer); });
 }
 
 // The target may hang: another one is asked as well.
-static void OnImpatient(const CallPtr& call)
+static void OnSlowProbe(const CallPtr& call)
 {
-    call->Patience = nullptr;
+    call->SlowProbeTimer = nullptr;
     if (call->Choosing != Choosing_None && !call->Again)
     {
-        call->AsksAtOnce++;
-        AskMore(call);
+        call->MaxConcurrentProbes++;
+        ProbeMore(call);
     }
 }
 
 // Asks the target for its load, or waits for the answer to the same question of another request.
-static void Ask(const CallPtr& call, const PoolTarget& target)
+static void Probe(const CallPtr& call, const PoolTarget& target)
 {
     std::vector<CallPtr>& askers = call->Service->Questions[target.Id];
-    call->Asking++;
-    call->AsksMade++;
+    call->ProbesInFlight++;
+    call->ProbeCount++;
     askers.push_back(call);
-    call->Patience = TimerStart(call->Owner->Loop, call->Owner->Config.AskPatienceUs, [call]() { OnImpatient(call); });
+    call->SlowProbeTimer = TimerStart(call->Owner->Loop, call->Owner->Config.SlowProbeUs, [call]() { OnSlowProbe(call); });
     if (askers.size() == 1)
     {
-        SendQuestion(*call, target);
+        SendProbe(*call, target);
         return;
     }
     call->Owner->AsksShared++;
 }
 
 // The best of those that are not at their limits; if all are, null.
-static PoolTarget* NextUnasked(Call* call)
+static PoolTarget* NextUnprobed(Call* call)
 {
     const TimeUs now = NowUs();
     for (;;)
     {
         std::vector<std::string> passed = call->Tried;
         passed.insert(passed.end(), call->OverLimit.begin(), call->OverLimit.end());
-        PoolTarget* target = PoolNextUnasked(&call->Service->Pool, passed, !call->Repeatable, now, call->Owner->Rng);
+        PoolTarget* target = PoolNextUnasked(&call->Service->Pool, passed, !call->Retryable, now, call->Owner->Rng);
         if (target == nullptr || TakeLimit(call, *target, now))
         {
             return target;
@@ -332,22 +331,22 @@
 }
 
 // Targets that tell no load are not asked: their health path would wait for a slot. The one with the least of our own work is taken.
-static void SendUnasked(const CallPtr& call)
+static void SendUnprobed(const CallPtr& call)
 {
-    PoolTarget* target = NextUnasked(call.get());
-    const bool full = target != nullptr && target->InFlight >= call->Owner->Config.UnaskedMost * target->Slots;
+    PoolTarget* target = NextUnprobed(call.get());
+    const bool full = target != nullptr && target->InFlight >= call->Owner->Config.MaxUnprobedFactor * target->Slots;
     const bool cold = target != nullptr && !PoolMayTakeCold(call->Service->Pool, *target, NowUs());
     if (target == nullptr || full || cold || !MayConnect(*call, *target))
     {
-        const bool spared = !call->OverLimit.empty() || PoolBackoffEnds(call->Service->Pool, NowUs());
-        const Code_ none = spared ? Code_TargetsLimited : Code_NoTargetLeft;
-        Refuse(call, target == nullptr ? none : Code_TargetsBusy, "targets tell no load");
+        const bool limited = !call->OverLimit.empty() || PoolBackoffEnds(call->Service->Pool, NowUs());
+        const Code_ none = limited ? Code_TargetsLimited : Code_NoTargetLeft;
+        RejectOrFallBack(call, target == nullptr ? none : Code_TargetsBusy, "targets tell no load");
         return;
     }
     SendTo(call, target);
 }
 
-static void AskMore(const CallPtr& call)
+static void ProbeMore(const CallPtr& call)
 {
     if (call->Choosing == Choosing_None)
     {
@@ -355,27 +354,28 @@
     }
     if (!call->Service->Pool.TellsLoad || call->Spec->HealthPath.empty())
     {
-        SendUnasked(call);
+        SendUnprobed(call);
         return;
     }
     const ForwardConfig& config = call->Owner->Config;
     const TimeUs now = NowUs();
-    while (now < call->ChooseUntilUs && call->OverLimit.size() < config.OverLimitMost)
+    while (now < call->ChooseDeadlineUs && call->OverLimit.size() < config.MaxOverLimit)
     {
-        PoolTarget* next = PoolNext(&call->Service->Pool, Passed(*call), !call->Repeatable, now);
+        PoolTarget* next = PoolNext(&call->Service->Pool, ExcludedTargets(*call), !call->Retryable, now);
         const bool known = next != nullptr && next->ReportUs > 0 && now < next->ReportUs + config.ReuseUs;
-        if (next == nullptr || (!known && (call->Asking >= call->AsksAtOnce || call->AsksMade - call->AsksBefore >= config.AsksMost)))
+        if (next == nullptr || (!known && (call->ProbesInFlight >= call->MaxConcurrentProbes ||
+                                           call->ProbeCount - call->ProbeCountBefore >= config.MaxProbes)))
         {
             break;
         }
-        call->Asked.push_back(next->Id);
+        call->Probed.push_back(next->Id);
         if (!TakeLimit(call.get(), *next, now))
         {
             continue; // Nor is it asked.
         }
         if (!known && MayConnect(*call, *next))
         {
-            Ask(call, *next);
+            Probe(call, *next);
         }
         else if (known && IsGood(call.get(), *next, now))
         {
@@ -383,7 +383,7 @@
             return;
         }
     }
-    if (call->Asking == 0)
+    if (call->ProbesInFlight == 0)
     {
         Decide(call);
     }
@@ -391,14 +391,14 @@
 
 void ChooseTarget(const CallPtr& call, Choosing_ choosing)
 {
-    const double share = call->Owner->Config.ChooseShare;
+    const double share = call->Owner->Config.MaxChooseShare;
     call->Choosing = choosing;
-    call->Asked.clear();
+    call->Probed.clear();
     call->OverLimit.clear();
-    call->AsksBefore = call->AsksMade;
-    call->AsksAtOnce = 1;
-    call->ChooseUntilUs = NowUs() + static_cast<TimeUs>(share * static_cast<double>(call->Row->AimUs));
-    AskMore(call);
+    call->ProbeCountBefore = call->ProbeCount;
+    call->MaxConcurrentProbes = 1;
+    call->ChooseDeadlineUs = NowUs() + static_cast<TimeUs>(share * static_cast<double>(call->MatchedRoute->AimUs));
+    ProbeMore(call);
 }
 
 //-----------------------------------------------------------------------------
--- a/gateway/client.cpp
+++ b/gateway/client.cpp
@@ -22,8 +22,8 @@
 namespace Winchlink
 {
 
-static constexpr long ConnectionsKept = 256;    // Idle ones over all targets; each target sees far fewer.
-static constexpr long IdleReuseMostSeconds = 8; // Targets close idle connections after 10 s and more.
+static constexpr long MaxIdleConnections = 256; // Idle ones over all targets; each target sees far fewer.
+static constexpr long MaxIdleReuseSeconds = 8;  // Targets close idle connections after 10 s and more.
 
 //-----------------------------------------------------------------------------
 // [SECTION] Calls
@@ -43,8 +43,8 @@
     TimeUs StartedUs = 0;
     bool Sent = false;             // The request was about to leave.
     bool ClosedUnanswered = false; // The connection closed without an answer; libcurl wanted to send the request again.
-    bool HeldBack = false;         // MaySend said no.
-    bool Foreign = false;          // The answer belongs to another request.
+    bool Withheld = false;         // MaySend said no.
+    bool Mismatched = false;       // The answer belongs to another request.
     bool TooLarge = false;         // The answer is over its limit.
     bool HeadRead = false;         // All headers of the answer were read.
 };
@@ -53,7 +53,7 @@
 // [SECTION] libcurl's callbacks
 //-----------------------------------------------------------------------------
 
-static int OnPrepared(void* user, char*, char*, int, int)
+static int OnBeforeSend(void* user, char*, char*, int, int)
 {
     auto* call = static_cast<ClientCall*>(user);
     if (call->Sent)
@@ -64,7 +64,7 @@
     }
     if (call->Request.MaySend && !call->Request.MaySend())
     {
-        call->HeldBack = true;
+        call->Withheld = true;
         return CURL_PREREQFUNC_ABORT;
     }
     call->Sent = true;
@@ -79,15 +79,15 @@
 }
 
 // All headers of a message were read; it may be an interim answer, which says nothing.
-static void OnHeadRead(ClientCall* call)
+static void OnHeadersComplete(ClientCall* call)
 {
     constexpr int first_final = 200;
     const ClientRequest& request = call->Request;
     const std::vector<Header>& headers = call->Answer.Headers;
     const int status = StatusOf(*call);
     call->HeadRead = status >= first_final;
-    call->Foreign = call->HeadRead && request.Fits && !request.Fits(headers);
-    if (call->HeadRead && !call->Foreign && request.OnHead)
+    call->Mismatched = call->HeadRead && request.Fits && !request.Fits(headers);
+    if (call->HeadRead && !call->Mismatched && request.OnHead)
     {
         request.OnHead(status, headers);
     }
@@ -106,9 +106,9 @@
     {
         if (!call->HeadRead)
         {
-            OnHeadRead(call);
+            OnHeadersComplete(call);
         }
-        return call->Foreign ? 0 : line.size();
+        return call->Mismatched ? 0 : line.size();
     }
     const size_t colon = line.find(':');
     if (colon != std::string::npos && !call->HeadRead)
@@ -145,7 +145,7 @@
 
 // No byte came on a kept connection in the whole time that the request had. Its other side may be slow; or the connection is dead, and so
 // may be all others to that address: each would cost a question to find out, and a request that may not be repeated would be lost.
-static void NoteSilence(ClientCall* call)
+static void NoteSilentConnection(ClientCall* call)
 {
     const bool silent = call->Answer.End == ClientEnd_TimedOut && !call->Answer.NewConnection && !call->HeadRead;
     if (!silent)
@@ -168,7 +168,7 @@
         return;
     }
     const auto seconds = static_cast<long>((NowUs() - found->second) / UsPerSecond);
-    if (seconds > IdleReuseMostSeconds)
+    if (seconds > MaxIdleReuseSeconds)
     {
         client->Silent.erase(found); // All that were open then have rested for too long by now.
         return;
@@ -191,9 +191,9 @@
     {
         return ClientEnd_Answered;
     }
-    if (call.HeldBack)
+    if (call.Withheld)
     {
-        return ClientEnd_HeldBack;
+        return ClientEnd_Withheld;
     }
     if (!call.Sent)
     {
@@ -203,7 +203,7 @@
     {
         return ClientEnd_TimedOut;
     }
-    return call.HeadRead || call.Foreign || result == CURLE_WEIRD_SERVER_REPLY ? ClientEnd_Broken : ClientEnd_Lost;
+    return call.HeadRead || call.Mismatched || result == CURLE_WEIRD_SERVER_REPLY ? ClientEnd_Broken : ClientEnd_Lost;
 }
 
 static void FillAnswer(ClientCall* call, CURLcode result)
@@ -217,7 +217,7 @@
         return;
     }
     answer.Detail = call->ClosedUnanswered ? "connection closed without an answer"
-                    : call->Foreign        ? "answer of another request"
+                    : call->Mismatched     ? "answer of another request"
                     : call->TooLarge       ? "answer too large"
                                            : curl_easy_strerror(result);
     answer.Headers.clear();
@@ -225,7 +225,7 @@
 }
 
 // Takes the call out of the client; its handle is kept for another one.
-static std::unique_ptr<ClientCall> TakeOut(Client* client, uint64_t id)
+static std::unique_ptr<ClientCall> RemoveCall(Client* client, uint64_t id)
 {
     const auto found = client->Calls.find(id);
     if (found == client->Calls.end())
@@ -238,7 +238,7 @@
     return call;
 }
 
-static void KeepHandle(Client* client, ClientCall* call)
+static void RecycleHandle(Client* client, ClientCall* call)
 {
     curl_easy_reset(call->Easy);
     client->Spare.push_back(call->Easy);
@@ -251,9 +251,9 @@
     curl_easy_getinfo(easy, CURLINFO_PRIVATE, &user);
     const uint64_t id = static_cast<ClientCall*>(user)->Id;
     FillAnswer(static_cast<ClientCall*>(user), result);
-    NoteSilence(static_cast<ClientCall*>(user));
-    const std::unique_ptr<ClientCall> call = TakeOut(client, id);
-    KeepHandle(client, call.get());
+    NoteSilentConnection(static_cast<ClientCall*>(user));
+    const std::unique_ptr<ClientCall> call = RemoveCall(client, id);
+    RecycleHandle(client, call.get());
     call->Done(std::move(call->Answer));
 }
 
@@ -354,7 +354,7 @@
     curl_multi_setopt(client->Multi, CURLMOPT_SOCKETDATA, client);
     curl_multi_setopt(client->Multi, CURLMOPT_TIMERFUNCTION, OnTimerWanted);
     curl_multi_setopt(client->Multi, CURLMOPT_TIMERDATA, client);
-    curl_multi_setopt(client->Multi, CURLMOPT_MAXCONNECTS, ConnectionsKept);
+    curl_multi_setopt(client->Multi, CURLMOPT_MAXCONNECTS, MaxIdleConnections);
 }
 
 //-----------------------------------------------------------------------------
@@ -400,7 +400,7 @@
     return static_cast<long>(std::max<TimeUs>((time + UsPerMs - 1) / UsPerMs, 1));
 }
 
-static void Prepare(ClientCall* call)
+static void ConfigureHandle(ClientCall* call)
 {
     CURL* easy = call->Easy;
     const ClientRequest& request = call->Request;
@@ -413,12 +413,12 @@
     curl_easy_setopt(easy, CURLOPT_HTTP09_ALLOWED, 0L);
     curl_easy_setopt(easy, CURLOPT_TCP_NODELAY, 1L);
     curl_easy_setopt(easy, CURLOPT_TCP_KEEPALIVE, 0L);
-    curl_easy_setopt(easy, CURLOPT_MAXAGE_CONN, IdleReuseMostSeconds);
+    curl_easy_setopt(easy, CURLOPT_MAXAGE_CONN, MaxIdleReuseSeconds);
     curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, request.NewConnection ? 1L : 0L);
     curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, MsOf(request.TimeoutUs));
     curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, MsOf(request.ConnectUs > 0 ? request.ConnectUs : request.TimeoutUs));
     curl_easy_setopt(easy, CURLOPT_HTTPHEADER, call->Headers.get());
-    curl_easy_setopt(easy, CURLOPT_PREREQFUNCTION, OnPrepared);
+    curl_easy_setopt(easy, CURLOPT_PREREQFUNCTION, OnBeforeSend);
     curl_easy_setopt(easy, CURLOPT_PREREQDATA, call);
     curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, OnHeader);
     curl_easy_setopt(easy, CURLOPT_HEADERDATA, call);
@@ -453,7 +453,7 @@
     call->StartedUs = NowUs();
     call->Easy = TakeHandle(client);
     call->Headers = MakeHeaders(call->Request.Headers);
-    Prepare(call.get());
+    ConfigureHandle(call.get());
     CURL* easy = call->Easy;
     client->Calls[id] = std::move(call);
     curl_multi_add_handle(client->Multi, easy); // Asks for a timeout of 0, so all that follows runs from the loop.
@@ -477,10 +477,10 @@
 
 void ClientCancel(Client* client, uint64_t id)
 {
-    const std::unique_ptr<ClientCall> call = TakeOut(client, id);
+    const std::unique_ptr<ClientCall> call = RemoveCall(client, id);
     if (call)
     {
-        KeepHandle(client, call.get());
+        RecycleHandle(client, call.get());
     }
 }
 
--- a/gateway/client.h
+++ b/gateway/client.h
@@ -37,7 +37,7 @@
     ClientEnd_None,
     ClientEnd_Answered,     // A whole answer came.
     ClientEnd_NotConnected, // No connection came up: nothing was sent.
-    ClientEnd_HeldBack,     // MaySend said no: nothing was sent.
+    ClientEnd_Withheld,     // MaySend said no: nothing was sent.
     ClientEnd_Lost,         // It was sent, and no whole answer came: reset, closed, or no HTTP.
     ClientEnd_Broken,       // An answer came that is not this request's, or not whole.
     ClientEnd_TimedOut,     // It was sent, and no whole answer came in time.
--- a/gateway/forward.cpp
+++ b/gateway/forward.cpp
@@ -25,7 +25,7 @@
 // [SECTION] Ends
 //-----------------------------------------------------------------------------
 
-static void Count(const Call& call, Code_ code)
+static void CountCall(const Call& call, Code_ code)
 {
     RowMetrics& metrics = call.Service != nullptr ? call.Service->Metrics : call.Owner->Unrouted;
     CountEnded(&metrics, code);
@@ -33,36 +33,36 @@
     if (code == Code_None)
     {
         ReturnScheduleServed(&call.Service->Returns, NowUs());
-        LatencyAdd(&metrics.Latency, NowUs() - call.From->ArrivedUs);
-        LatencyAdd(&call.Owner->ByPriority[PriorityOf(call)], NowUs() - call.From->ArrivedUs);
+        LatencyAdd(&metrics.Latency, NowUs() - call.Inbound->ArrivedUs);
+        LatencyAdd(&call.Owner->ByPriority[PriorityOf(call)], NowUs() - call.Inbound->ArrivedUs);
     }
 }
 
 static void LogEnd(const Call& call, Code_ code, int status, const std::string& detail)
 {
-    const Attempt& last = call.Last;
+    const Attempt& last = call.LastAttempt;
     const bool good = code == Code_None && status < 500;
     const auto write = good ? LogSample : Log; // Failures are never sampled.
     write(LogLevel_Info, code, code == Code_None ? "answered" : "not answered",
           {{"requestId", call.Id},
-           {"route", call.Row != nullptr ? call.Row->Name : ""},
+           {"route", call.MatchedRoute != nullptr ? call.MatchedRoute->Name : ""},
            {"service", call.ServiceName},
            {"customer", call.By != nullptr ? call.By->Name : ""},
            {"plan", call.Plan ? call.Plan->Version : 0},
            {"target", last.Target},
            {"status", status},
            {"attempts", call.Attempts},
-           {"asked", call.AsksMade},
+           {"asked", call.ProbeCount},
            {"overLimit", static_cast<int>(call.OverLimit.size())},
            {"targets", call.Service != nullptr ? static_cast<int>(call.Service->Pool.Targets.size()) : 0},
            {"running", last.Report.Running},
            {"waiting", last.Report.Waiting},
            {"pace", last.Report.PacePercent},
            {"reportAgeUs", last.ReportUs > 0 ? last.SentUs - last.ReportUs : -1},
-           {"sentAfterUs", last.SentUs > 0 ? last.SentUs - call.From->ArrivedUs : -1},
+           {"sentAfterUs", last.SentUs > 0 ? last.SentUs - call.Inbound->ArrivedUs : -1},
            {"expectedUs", static_cast<int64_t>(last.ExpectedUs)},
-           {"tookUs", NowUs() - call.From->ArrivedUs},
-           {"toldWaitUs", call.ToldWaitUs},
+           {"tookUs", NowUs() - call.Inbound->ArrivedUs},
+           {"toldWaitUs", call.RetryAfterUs},
            {"detail", detail}});
 }
 
@@ -71,25 +71,25 @@
     assert(!call->Ended && "a request ends once");
     call->Ended = true;
     call->Choosing = Choosing_None;
-    call->Deadline = nullptr;
+    call->DeadlineTimer = nullptr;
     call->Again = nullptr;
-    call->Patience = nullptr;
-    call->Slow = nullptr;
+    call->SlowProbeTimer = nullptr;
+    call->HedgeTimer = nullptr;
     call->Owner->InProgress--;
     if (call->Service != nullptr)
     {
         call->Service->InProgress--;
-        GiveRepeatBack(call.get());
-        GiveGrantsBack(call.get());
+        ReturnRetry(call.get());
+        ReturnGrants(call.get());
     }
     if (call->QuotaTakenUs > 0 && call->MayHaveRun == 0)
     {
         QuotaReturn(&call->Owner->Quotas, call->By->Id, call->QuotaTakenUs);
     }
-    Count(*call, code);
+    CountCall(*call, code);
     LogEnd(*call, code, reply.Status, detail);
     reply.CloseConnection = reply.CloseConnection || call->Owner->Leaving;
-    Reply(call->From, std::move(reply));
+    Reply(call->Inbound, std::move(reply));
 }
 
 void EndCallWith(const CallPtr& call, Code_ code, const std::string& detail, TimeUs retry_after)
@@ -114,13 +114,13 @@
     {
         const double seconds = static_cast<double>(retry_after) / static_cast<double>(UsPerSecond);
         reply.Headers.push_back({names.RetryAfter, fmt::format("{:.3f}", seconds)});
-        call->ToldWaitUs = retry_after;
+        call->RetryAfterUs = retry_after;
     }
     EndCall(call, code, detail, std::move(reply));
 }
 
 // When one of the targets that were passed over for their limits takes a request again.
-static TimeUs LimitTurn(const Call& call)
+static TimeUs LimitWaitUs(const Call& call)
 {
     double per_us = 0;
     for (const std::string& id : call.OverLimit)
@@ -133,27 +133,27 @@
 }
 
 // When a target takes a request again, as far as targets have asked to be spared; 0 where that is not what the caller waits for.
-static TimeUs SparedFor(const Call& call, Code_ code, TimeUs now)
+static TimeUs TargetWaitUs(const Call& call, Code_ code, TimeUs now)
 {
     const std::optional<TimeUs> ends = PoolBackoffEnds(call.Service->Pool, now);
-    return ends ? *ends - now : code == Code_TargetsLimited ? LimitTurn(call) : 0;
+    return ends ? *ends - now : code == Code_TargetsLimited ? LimitWaitUs(call) : 0;
 }
 
 void EndCallBusy(const CallPtr& call, Code_ code, const std::string& detail)
 {
     const TimeUs now = NowUs();
-    const auto left = static_cast<double>(std::max<TimeUs>(call->CallerUntilUs - now, 0));
-    const auto most = static_cast<TimeUs>(call->Owner->Config.ReturnShare * left);
+    const auto left = static_cast<double>(std::max<TimeUs>(call->CallerDeadlineUs - now, 0));
+    const auto most = static_cast<TimeUs>(call->Owner->Config.MaxRetryAfterShare * left);
     const TimeUs place = ReturnScheduleTake(&call->Service->Returns, now, call->Owner->Rng);
-    EndCallWith(call, code, detail, std::min(place + SparedFor(*call, code, now), most));
+    EndCallWith(call, code, detail, std::min(place + TargetWaitUs(*call, code, now), most));
 }
 
 // Attempts in progress end without an answer.
-static void GiveUpAttempts(const CallPtr& call)
+static void AbandonAttempts(const CallPtr& call)
 {
     for (const Attempt& attempt : call->Active)
     {
-        NoteSilent(call.get(), attempt);
+        NoteUnanswered(call.get(), attempt);
     }
     CancelAttempts(call);
 }
@@ -161,13 +161,13 @@
 static void OnDeadline(const CallPtr& call)
 {
     const bool sent = call->MayHaveRun > 0 || !call->Active.empty();
-    BlameTargets(*call);
-    if (call->Kept)
+    PenalizeTargets(*call);
+    if (call->FailedAnswer)
     {
-        PassOn(call, std::move(*call->Kept));
+        RelayAnswer(call, std::move(*call->FailedAnswer));
         return;
     }
-    GiveUpAttempts(call);
+    AbandonAttempts(call);
     if (sent)
     {
         EndCallWith(call, Code_DeadlinePassed, "deadline");
@@ -178,7 +178,7 @@
 
 static void OnCallerGone(const CallPtr& call)
 {
-    GiveUpAttempts(call);
+    AbandonAttempts(call);
     EndCall(call, Code_CallerGone, "", CallerReply{FindCode(Code_CallerGone).HttpStatus, {}, "", true});
 }
 
@@ -186,7 +186,7 @@
 // [SECTION] Customers
 //-----------------------------------------------------------------------------
 
-bool KeyHolds(const Call& call)
+bool IsKeyValid(const Call& call)
 {
     const RoutePlanPtr& plan = call.Owner->Plan;
     if (call.By == nullptr || plan == call.Plan)
@@ -198,15 +198,15 @@
 }
 
 // Finds out whose request it is. False if it must be refused, as it is then.
-static bool Recognize(const CallPtr& call)
+static bool IdentifyCustomer(const CallPtr& call)
 {
     Forwarder* forwarder = call->Owner;
-    std::vector<Header>& headers = call->From->Headers;
+    std::vector<Header>& headers = call->Inbound->Headers;
     const std::optional<KeyHash> key = ReadCallerKey(headers);
     call->By = key ? FindCustomer(call->Plan->Callers, *key) : nullptr;
     call->ByKey = key.value_or(KeyHash());
     ReplaceCallerKey(&headers, forwarder->Names.Customer, call->By != nullptr ? call->By->Name : "");
-    if (call->By != nullptr || call->Row->Public)
+    if (call->By != nullptr || call->MatchedRoute->Public)
     {
         return true;
     }
@@ -252,12 +252,12 @@
 }
 
 // What the caller's deadline header says; the route's timeout where there is none; none where it is no number of milliseconds.
-static std::optional<TimeUs> AskedTime(const Call& call)
+static std::optional<TimeUs> RequestedTimeout(const Call& call)
 {
-    const std::string* header = FindHeader(call.From->Headers, call.Owner->Names.Deadline);
+    const std::string* header = FindHeader(call.Inbound->Headers, call.Owner->Names.Deadline);
     if (header == nullptr)
     {
-        return call.Row->TimeoutUs;
+        return call.MatchedRoute->TimeoutUs;
     }
     char* end = nullptr;
     const double ms = std::strtod(header->c_str(), &end);
@@ -267,31 +267,31 @@
         return std::nullopt;
     }
     constexpr double longest = 3600.0 * UsPerSecond; // No caller waits longer, and it fits the type.
-    return ms > 0 ? static_cast<TimeUs>(std::min(ms * static_cast<double>(UsPerMs), longest)) : call.Row->TimeoutUs;
+    return ms > 0 ? static_cast<TimeUs>(std::min(ms * static_cast<double>(UsPerMs), longest)) : call.MatchedRoute->TimeoutUs;
 }
 
 static void SetDeadline(const CallPtr& call, TimeUs asked)
 {
-    call->CallerUntilUs = call->From->ArrivedUs + asked;
-    call->DeadlineUs = call->From->ArrivedUs + std::min(asked, call->Row->TimeoutUs);
-    call->Deadline = TimerStart(call->Owner->Loop, LeftUs(*call, NowUs()), [call]() { OnDeadline(call); });
+    call->CallerDeadlineUs = call->Inbound->ArrivedUs + asked;
+    call->DeadlineUs = call->Inbound->ArrivedUs + std::min(asked, call->MatchedRoute->TimeoutUs);
+    call->DeadlineTimer = TimerStart(call->Owner->Loop, LeftUs(*call, NowUs()), [call]() { OnDeadline(call); });
 }
 
-static void Admit(const CallPtr& call)
+static void AdmitCall(const CallPtr& call)
 {
     Forwarder* forwarder = call->Owner;
-    const std::optional<TimeUs> asked = AskedTime(*call);
+    const std::optional<TimeUs> asked = RequestedTimeout(*call);
     if (!asked)
     {
         EndCallWith(call, Code_BadDeadline, "");
         return;
     }
-    const size_t part = RouteSplitNext(&forwarder->Splits[call->Row->Name], call->Row->Parts, forwarder->Rng);
-    call->ServiceName = call->Row->Parts[part].Service;
+    const size_t part = RouteSplitNext(&forwarder->Splits[call->MatchedRoute->Name], call->MatchedRoute->Parts, forwarder->Rng);
+    call->ServiceName = call->MatchedRoute->Parts[part].Service;
     call->Spec = FindService(*call->Plan, call->ServiceName);
     call->Service = &forwarder->Services[call->ServiceName];
     call->Service->InProgress++;
-    call->Work = &forwarder->Work[call->Row->Name];
+    call->Work = &forwarder->Work[call->MatchedRoute->Name];
     SetDeadline(call, *asked);
     RepeatBudgetRequest(&call->Service->Repeats, NowUs());
     if (call->Spec == nullptr)
@@ -299,9 +299,9 @@
         EndCallWith(call, Code_NoTargetLeft, "the plan has no such service", forwarder->Config.EmptyRetryUs);
         return;
     }
-    if (IsHeld(call.get()))
+    if (IsQuarantined(call.get()))
     {
-        EndCallHeld(call);
+        EndCallQuarantined(call);
         return;
     }
     if (call->Spec->RequestsMost > 0 && call->Service->InProgress > call->Spec->RequestsMost)
@@ -321,18 +321,18 @@
     return row != nullptr && MayRepeat(*row, exchange.Method);
 }
 
-static void FindRow(const CallPtr& call)
+static void MatchRoute(const CallPtr& call)
 {
-    call->Row = FindRoute(*call->Plan, HeaderOr(*call->From, "Host", ""), call->From->Target);
-    if (call->Row == nullptr)
+    call->MatchedRoute = FindRoute(*call->Plan, HeaderOr(*call->Inbound, "Host", ""), call->Inbound->Target);
+    if (call->MatchedRoute == nullptr)
     {
-        EndCallWith(call, Code_NoRoute, call->From->Target);
+        EndCallWith(call, Code_NoRoute, call->Inbound->Target);
         return;
     }
-    call->Repeatable = MayRepeat(*call->Row, call->From->Method);
-    if (!call->Plan->Callers.Required || Recognize(call))
+    call->Retryable = MayRepeat(*call->MatchedRoute, call->Inbound->Method);
+    if (!call->Plan->Callers.Required || IdentifyCustomer(call))
     {
-        Admit(call);
+        AdmitCall(call);
     }
 }
 
@@ -351,7 +351,7 @@
         refuse();
         return;
     }
-    call->Deadline = TimerStart(forwarder->Loop, left, refuse);
+    call->DeadlineTimer = TimerStart(forwarder->Loop, left, refuse);
     forwarder->Unplanned.push_back(call);
     if (forwarder->OnNeeded && forwarder->Unplanned.size() % forwarder->Config.NeedyCallers == 0)
     {
@@ -359,7 +359,7 @@
     }
 }
 
-static void ServeUnplanned(Forwarder* forwarder)
+static void ResumeUnplanned(Forwarder* forwarder)
 {
     const std::vector<CallPtr> calls = std::move(forwarder->Unplanned);
     forwarder->Unplanned.clear();
@@ -367,9 +367,9 @@
     {
         if (!call->Ended)
         {
-            call->Deadline = nullptr;
+            call->DeadlineTimer = nullptr;
             call->Plan = forwarder->Plan;
-            FindRow(call);
+            MatchRoute(call);
         }
     }
 }
@@ -378,7 +378,7 @@
 {
     const auto call = std::make_shared<Call>();
     call->Owner = forwarder;
-    call->From = exchange;
+    call->Inbound = exchange;
     call->Plan = forwarder->Plan;
     call->Id = HeaderOr(*exchange, forwarder->Names.RequestId, "");
     if (call->Id.empty())
@@ -392,7 +392,7 @@
     };
     if (call->Plan)
     {
-        FindRow(call);
+        MatchRoute(call);
         return;
     }
     AwaitPlan(call);
@@ -434,7 +434,7 @@
     {
         FollowPlan(forwarder);
     }
-    NoteEndedTargets(forwarder);
+    NoteCrashedTargets(forwarder);
     for (const auto& [service, listed] : DirectoryOfServices(forwarder->Directory, ServicesToFollow(forwarder)))
     {
         const auto state = forwarder->Services.find(service);
@@ -446,7 +446,7 @@
     }
     if (forwarder->Plan)
     {
-        ServeUnplanned(forwarder);
+        ResumeUnplanned(forwarder);
     }
 }
 
--- a/gateway/forward.h
+++ b/gateway/forward.h
@@ -18,23 +18,23 @@
 
 struct ForwardConfig
 {
-    TimeUs AskPatienceUs = 5 * UsPerMs; // A target that takes longer to tell its load is not waited for alone; usual: 0.6 to 3 ms.
-    int AsksMost = 8;                   // Questions asked for one attempt.
-    size_t OverLimitMost = 64;          // Targets at their limits that are passed over for one attempt: looking at each costs time.
-    TimeUs ReuseUs = 8 * UsPerMs;       // A report is believed for so long without asking again.
-    TimeUs AskAgainUs = 20 * UsPerMs;   // All busy: pause before asking again.
-    double ChooseShare = 0.2;           // Part of a route's aim that choosing may take: 0.3 serves 0.5 % more in time.
-    int UnaskedMost = 2;                // Where targets tell no load: our requests at one target, as a multiple of its slots.
-    TimeUs ConnectUs = 250 * UsPerMs;   // To connect to a target on our own network.
-    double ReturnShare = 0.5;           // A refused caller comes back within this part of the time it has left.
-    TimeUs IllRetryUs = 50 * UsPerMs;   // A target with room refused: 2.4 % more in time where half is refused so.
+    TimeUs SlowProbeUs = 5 * UsPerMs;       // A target that takes longer to tell its load is not waited for alone; usual: 0.6 to 3 ms.
+    int MaxProbes = 8;                      // Questions asked for one attempt.
+    size_t MaxOverLimit = 64;               // Targets at their limits that are passed over for one attempt: looking at each costs time.
+    TimeUs ReuseUs = 8 * UsPerMs;           // A report is believed for so long without asking again.
+    TimeUs AskAgainUs = 20 * UsPerMs;       // All busy: pause before asking again.
+    double MaxChooseShare = 0.2;            // Part of a route's aim that choosing may take: 0.3 serves 0.5 % more in time.
+    int MaxUnprobedFactor = 2;              // Where targets tell no load: our requests at one target, as a multiple of its slots.
+    TimeUs ConnectUs = 250 * UsPerMs;       // To connect to a target on our own network.
+    double MaxRetryAfterShare = 0.5;        // A refused caller comes back within this part of the time it has left.
+    TimeUs UnhealthyRetryUs = 50 * UsPerMs; // A target with room refused: 2.4 % more in time where half is refused so.
     TimeUs FirstPlanUs = 600 * UsPerMs; // A start has its plan by then, also where it waits for a first contact that comes up 0.3 s later.
     size_t NeedyCallers = 6; // So many that wait for the first plan are worth a start's calls to the store: it is one or two, and
                              // they cost what up to five requests earn.
     TimeUs EmptyRetryUs = 500 * UsPerMs; // When to come back where there is no target or no plan yet.
     double SlowFactor = 1.7;             // An attempt that takes so many times as long as expected is slow (docs/MEASUREMENTS.md).
-    double SecondShare = 0.4;            // Part of the repeat budget for second attempts beside slow ones.
-    TimeUs SecondAgainUs = 50 * UsPerMs; // No target for a second attempt: pause before looking again. Slots come free within this time.
+    double HedgeShare = 0.4;             // Part of the repeat budget for second attempts beside slow ones.
+    TimeUs HedgeRetryUs = 50 * UsPerMs;  // No target for a second attempt: pause before looking again. Slots come free within this time.
     double RepeatShare = 0.2;            // See RepeatBudget.
     TimeUs RepeatWindowUs = 10 * UsPerSecond; //
 };
--- a/gateway/held.cpp
+++ b/gateway/held.cpp
@@ -21,25 +21,25 @@
 {
     if (call->Key.empty())
     {
-        call->Key = RequestKey(*call->From, call->Owner->Names.Customer);
+        call->Key = RequestKey(*call->Inbound, call->Owner->Names.Customer);
     }
     return call->Key;
 }
 
-static TimeUs HeldUntil(Call* call)
+static TimeUs QuarantinedUntil(Call* call)
 {
     const Quarantine& held = call->Owner->Held;
     return held.Requests.empty() ? 0 : QuarantineUntil(held, CallKey(call), NowUs());
 }
 
-bool IsHeld(Call* call)
+bool IsQuarantined(Call* call)
 {
-    return HeldUntil(call) > 0;
+    return QuarantinedUntil(call) > 0;
 }
 
-void EndCallHeld(const CallPtr& call)
+void EndCallQuarantined(const CallPtr& call)
 {
-    const TimeUs left = std::max<TimeUs>(HeldUntil(call.get()) - NowUs(), 0);
+    const TimeUs left = std::max<TimeUs>(QuarantinedUntil(call.get()) - NowUs(), 0);
     EndCallWith(call, Code_RequestHeld, CallKey(call.get()), left);
 }
 
@@ -47,17 +47,17 @@
 // [SECTION] Ends of targets
 //-----------------------------------------------------------------------------
 
-static void NoteEnd(Forwarder* forwarder, const std::string& request, const std::string& target)
+static void RecordCrash(Forwarder* forwarder, const std::string& request, const std::string& target)
 {
     const TimeUs now = NowUs();
-    const bool held_before = QuarantineUntil(forwarder->Held, request, now) > 0;
+    const bool was_quarantined = QuarantineUntil(forwarder->Held, request, now) > 0;
     if (!QuarantineNote(&forwarder->Held, request, target, now))
     {
         return;
     }
     const TimeUs until = QuarantineUntil(forwarder->Held, request, now);
-    const bool held_now = !held_before && until > 0;
-    Log(held_now ? LogLevel_Warn : LogLevel_Info, held_now ? Code_RequestHeld : Code_None, held_now ? "request held" : "target ended",
+    const bool newly_quarantined = !was_quarantined && until > 0;
+    Log(newly_quarantined ? LogLevel_Warn : LogLevel_Info, newly_quarantined ? Code_RequestHeld : Code_None, newly_quarantined ? "request held" : "target ended",
         {{"request", request},
          {"target", target},
          {"ends", QuarantineEnds(forwarder->Held, request)},
@@ -69,7 +69,7 @@
 }
 
 // What a target says, or does not say, right after it closed a connection without an answer.
-static bool HasEnded(const Forwarder& forwarder, const std::string& id, const ClientAnswer& answer)
+static bool HasCrashed(const Forwarder& forwarder, const std::string& id, const ClientAnswer& answer)
 {
     switch (answer.End)
     {
@@ -89,7 +89,7 @@
 
 // A target that has only cut our connection answers a question on a new one. Where it has no health path nothing is sent: that a connection
 // comes up must do.
-void LookWhetherEnded(Call* call, const Attempt& attempt)
+void CheckForCrash(Call* call, const Attempt& attempt)
 {
     Forwarder* forwarder = call->Owner;
     const PoolTarget* target = PoolFindEntry(&call->Service->Pool, attempt.Target, attempt.Entry);
@@ -108,41 +108,41 @@
     };
     const auto looked = [forwarder, key = CallKey(call), attempt](const ClientAnswer& answer)
     {
-        if (HasEnded(*forwarder, attempt.Target, answer))
+        if (HasCrashed(*forwarder, attempt.Target, answer))
         {
-            NoteEnd(forwarder, key, TargetLife(attempt.Target, attempt.Life));
+            RecordCrash(forwarder, key, TargetLife(attempt.Target, attempt.Life));
         }
     };
     ClientSend(forwarder->Targets, std::move(request), looked);
 }
 
 // A target that was asked right before lived when the request was sent: it has not been silent from the start, as one is that ended before.
-static bool LivedWhenSent(const Forwarder& forwarder, const Attempt& attempt)
+static bool WasAliveWhenSent(const Forwarder& forwarder, const Attempt& attempt)
 {
     return attempt.ReportUs > 0 && attempt.SentUs - attempt.ReportUs <= forwarder.Config.ReuseUs;
 }
 
-void NoteSilent(Call* call, const Attempt& attempt)
+void RecordUnanswered(Call* call, const Attempt& attempt)
 {
     Forwarder* forwarder = call->Owner;
-    if (!LivedWhenSent(*forwarder, attempt))
+    if (!WasAliveWhenSent(*forwarder, attempt))
     {
         return;
     }
     const SilentAttempt silent = {CallKey(call), TargetLife(attempt.Target, attempt.Life), attempt.SentUs};
     if (SilentAttemptEnded(&forwarder->Silent, silent, NowUs()))
     {
-        NoteEnd(forwarder, silent.Request, silent.Target);
+        RecordCrash(forwarder, silent.Request, silent.Target);
     }
 }
 
-void NoteEndedTargets(Forwarder* forwarder)
+void NoteCrashedTargets(Forwarder* forwarder)
 {
     for (const std::string& target : DirectoryTakeEnded(&forwarder->Directory))
     {
         for (const SilentAttempt& attempt : SilentTargetEnded(&forwarder->Silent, target, NowUs()))
         {
-            NoteEnd(forwarder, attempt.Request, attempt.Target);
+            RecordCrash(forwarder, attempt.Request, attempt.Target);
         }
     }
 }
--- a/gateway/target_ends.cpp
+++ b/gateway/target_ends.cpp
@@ -51,7 +51,7 @@
     return message;
 }
 
-static std::string AllWeKnow(const TargetEnds& ends)
+static std::string EncodeAll(const TargetEnds& ends)
 {
     return EncodeTargetEnds({ends.Known->Digest, QuarantineTell(*ends.Known, NowUs())});
 }
@@ -60,7 +60,7 @@
 // [SECTION] Telling
 //-----------------------------------------------------------------------------
 
-static void TellFollowers(TargetEnds* ends)
+static void NotifyFollowers(TargetEnds* ends)
 {
     ends->Telling = nullptr;
     ends->ToldUs = NowUs();
@@ -70,13 +70,13 @@
 // What a call is for.
 enum EndsCall_ : int
 {
-    EndsCall_Tell,    // All that we know.
+    EndsCall_Push,    // All that we know.
     EndsCall_Compare, // Whether the other one knows the same.
 };
 
 static void OnCalled(TargetEnds* ends, EndsCall_ kind, const ClientAnswer& answer);
 
-static void Call(TargetEnds* ends, EndsCall_ kind, const std::string& address, const std::string& message)
+static void SendCall(TargetEnds* ends, EndsCall_ kind, const std::string& address, const std::string& message)
 {
     ClientRequest request;
     request.Address = address;
@@ -91,18 +91,18 @@
     ClientSend(ends->Calls, std::move(request), [ends, kind](const ClientAnswer& answer) { OnCalled(ends, kind, answer); });
 }
 
-static void CallOthers(TargetEnds* ends)
+static void PushToPeers(TargetEnds* ends)
 {
     ends->Calling = nullptr;
     ends->CalledUs = NowUs();
-    const std::string message = AllWeKnow(*ends);
+    const std::string message = EncodeAll(*ends);
     for (const std::string& address : ends->Others())
     {
-        Call(ends, EndsCall_Tell, address, message);
+        SendCall(ends, EndsCall_Push, address, message);
     }
 }
 
-static void CallSoon(TargetEnds* ends)
+static void PushSoon(TargetEnds* ends)
 {
     if (ends->InProgress > 0)
     {
@@ -112,16 +112,16 @@
     if (!ends->Calling)
     {
         const TimeUs wait = std::max<TimeUs>(ends->CalledUs + ends->GatherUs - NowUs(), 0);
-        ends->Calling = TimerStart(ends->Loop, wait, [ends]() { CallOthers(ends); });
+        ends->Calling = TimerStart(ends->Loop, wait, [ends]() { PushToPeers(ends); });
     }
 }
 
-static void TellSoon(TargetEnds* ends)
+static void NotifySoon(TargetEnds* ends)
 {
     if (!ends->Telling)
     {
         const TimeUs wait = std::max<TimeUs>(ends->ToldUs + ends->GatherUs - NowUs(), 0);
-        ends->Telling = TimerStart(ends->Loop, wait, [ends]() { TellFollowers(ends); });
+        ends->Telling = TimerStart(ends->Loop, wait, [ends]() { NotifyFollowers(ends); });
     }
 }
 
@@ -130,17 +130,17 @@
 //-----------------------------------------------------------------------------
 
 // Takes what another instance knows; our followers hear of what is new to us. True if anything was.
-static bool Take(TargetEnds* ends, const TargetEndsMessage& message)
+static bool Merge(TargetEnds* ends, const TargetEndsMessage& message)
 {
     const bool changed = QuarantineTake(ends->Known, message.News, NowUs());
     if (changed)
     {
-        TellSoon(ends);
+        NotifySoon(ends);
     }
     return changed;
 }
 
-static Result<TargetEndsMessage> Read(const std::string& bytes)
+static Result<TargetEndsMessage> DecodeOrLog(const std::string& bytes)
 {
     Result<TargetEndsMessage> message = DecodeTargetEnds(bytes);
     if (!message)
@@ -151,14 +151,14 @@
 }
 
 // Of two that differ after they have compared, the other one knows less.
-static void TakeAnswer(TargetEnds* ends, EndsCall_ kind, const std::string& bytes)
+static void MergeAnswer(TargetEnds* ends, EndsCall_ kind, const std::string& bytes)
 {
-    const Result<TargetEndsMessage> message = Read(bytes);
+    const Result<TargetEndsMessage> message = DecodeOrLog(bytes);
     if (!message)
     {
         return;
     }
-    Take(ends, message.value());
+    Merge(ends, message.value());
     const bool differs = message.value().Digest != ends->Known->Digest;
     ends->Wanted = ends->Wanted || (differs && kind == EndsCall_Compare);
 }
@@ -173,25 +173,25 @@
     }
     else if (!answer.Body.empty())
     {
-        TakeAnswer(ends, kind, answer.Body);
+        MergeAnswer(ends, kind, answer.Body);
     }
     if (ends->InProgress == 0 && std::exchange(ends->Wanted, false))
     {
-        CallSoon(ends);
+        PushSoon(ends);
     }
 }
 
 void TargetEndsChanged(TargetEnds* ends)
 {
-    TellSoon(ends);
-    CallSoon(ends);
+    NotifySoon(ends);
+    PushSoon(ends);
 }
 
 void TargetEndsHeard(TargetEnds* ends, uint64_t digest)
 {
     if (digest != ends->Known->Digest)
     {
-        CallSoon(ends);
+        PushSoon(ends);
     }
 }
 
@@ -204,22 +204,22 @@
     const std::string question = EncodeTargetEnds({ends->Known->Digest, {}});
     for (const std::string& address : ends->Others())
     {
-        Call(ends, EndsCall_Compare, address, question);
+        SendCall(ends, EndsCall_Compare, address, question);
     }
 }
 
 std::string TargetEndsTold(TargetEnds* ends, const std::string& bytes)
 {
-    const Result<TargetEndsMessage> message = Read(bytes);
+    const Result<TargetEndsMessage> message = DecodeOrLog(bytes);
     if (!message)
     {
         return "";
     }
-    if (Take(ends, message.value()))
+    if (Merge(ends, message.value()))
     {
-        CallSoon(ends);
+        PushSoon(ends);
     }
-    return message.value().Digest == ends->Known->Digest ? "" : AllWeKnow(*ends);
+    return message.value().Digest == ends->Known->Digest ? "" : EncodeAll(*ends);
 }
 
 } // namespace Winchlink
