--- a/gateway/attempt.cpp
+++ b/gateway/attempt.cpp
@@ -1,13 +1,14 @@
-// attempt.cpp: sending a request to a target, and what its answer means.
+// attempt.cpp: sends a request to a target, interprets its answer, and decides on retries and hedging.
 //
-// A request that may not be repeated is sent again only after a target has said that it did not run it, or when it never left. One that
-// may be repeated gets a second attempt beside the first when that takes much longer than expected; the faster one is passed on.
+// A request that may not be run twice is retried only if it was never sent, or if the target declared that it did not run it. One that may
+// be run more than once is hedged: when the first attempt takes much longer than expected, it is sent to a second target as well, and the
+// first good answer is relayed.
 //
 // Index of this file:
-// [SECTION] Judging answers
-// [SECTION] Learning from answers
-// [SECTION] What comes next
-// [SECTION] Sending
+// [SECTION] Classifying answers
+// [SECTION] Updating the pool
+// [SECTION] Retrying and answering
+// [SECTION] Sending and hedging
 
 #include "call.h"
 
@@ -23,35 +24,35 @@
 {
 
 //-----------------------------------------------------------------------------
-// [SECTION] Judging answers
+// [SECTION] Classifying answers
 //-----------------------------------------------------------------------------
 
 enum Verdict_ : int
 {
-    Verdict_Relay,  // Pass the answer on.
-    Verdict_NotRun, // The target did not get the request, or did not run it.
-    Verdict_Lost,   // It may have been run, and there is no answer.
+    Verdict_Relay,  // The answer may be relayed to the caller.
+    Verdict_NotRun, // The target did not receive the request, or did not run it.
+    Verdict_Lost,   // The target may have run the request, and there is no usable answer.
     Verdict_COUNT,
 };
 
 static bool IsNotExecuted(const Forwarder& forwarder, const ClientAnswer& answer)
 {
-    constexpr int wrong_target = 421; // Another target at that address than the one that the request was meant for.
-    constexpr int min_error = 400;  // A success was run, whatever else it says.
+    constexpr int wrong_target = 421; // Misdirected Request: the address now belongs to another target.
+    constexpr int min_error = 400;    // A response with a success status was run, whatever its headers say.
     const WireNames& names = forwarder.Names;
     const std::string* said = FindHeader(answer.Headers, names.NotExecuted);
     const bool says = said != nullptr && (names.NotExecutedValue.empty() || *said == names.NotExecutedValue);
     return answer.End == ClientEnd_Answered && (answer.Status == wrong_target || (says && answer.Status >= min_error));
 }
 
-// A success that does not carry what only a target can give is no success, and neither is a body in another encoding.
+// An answer counts only if it has the signature header that only targets set, and if its body is not compressed.
 static bool IsGenuine(const Forwarder& forwarder, const ClientAnswer& answer)
 {
     const bool signature = forwarder.Names.Signature.empty() || FindHeader(answer.Headers, forwarder.Names.Signature) != nullptr;
     return signature && FindHeader(answer.Headers, "Content-Encoding") == nullptr;
 }
 
-// The caller would read these as "not run", and the target did not say so.
+// Statuses that a caller would read as "not run", although the target did not declare that.
 static bool ImpliesNotRun(int status)
 {
     return status == 408 || status == 429 || status == 503;
@@ -68,13 +69,13 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Learning from answers
+// [SECTION] Updating the pool
 //-----------------------------------------------------------------------------
 
-// What a request of the route takes at a target of cost 1, and how much slower nearly full targets are.
+// Updates the mean duration of the route's requests at a target of cost 1, and how much slower nearly full targets are.
 static void LearnWorkTime(Call* call, const Attempt& attempt, TimeUs took)
 {
-    constexpr double gain = 0.05; // Of the latest answer; work varies by a third and more.
+    constexpr double gain = 0.05; // Weight of the latest answer in the moving average.
     double& mean = call->Work->MeanUs;
     const double usual = static_cast<double>(took) * 100.0 / attempt.Report.PacePercent;
     if (!attempt.NearlyFull)
@@ -93,7 +94,7 @@
     return load != nullptr ? ParseLoadReport(*load) : std::nullopt;
 }
 
-// The attempt's target; null if it has left the pool.
+// The attempt's target; null if it has left the pool or restarted.
 static PoolTarget* FindTargetOf(const Call& call, const Attempt& attempt)
 {
     return PoolFindEntry(&call.Service->Pool, attempt.Target, attempt.Entry);
@@ -111,7 +112,7 @@
     }
 }
 
-// The target has one request of ours less.
+// One request of this instance at the target has ended.
 static void ReleaseSlot(PoolTarget* target, const Attempt& attempt)
 {
     const bool unreported = target->ReportUs < attempt.SentUs && target->Since > 0;
@@ -151,7 +152,7 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] What comes next
+// [SECTION] Retrying and answering
 //-----------------------------------------------------------------------------
 
 void RelayAnswer(const CallPtr& call, ClientAnswer answer)
@@ -175,7 +176,7 @@
     return answer.End != ClientEnd_NotConnected && answer.End != ClientEnd_Withheld;
 }
 
-// Takes one repeat out of `part` of the budget; a refusal is what later explains a failure.
+// Takes one retry from the given share of the budget. A refusal is logged, as it explains a later failure.
 static bool TakeRetry(const CallPtr& call, double part)
 {
     const TimeUs now = NowUs();
@@ -196,10 +197,10 @@
     return taken;
 }
 
-// Another target may get the request, if the budget allows it. What never left costs nothing.
+// Whether the request may be sent to another target. Takes a retry from the budget, unless the request was never sent.
 static bool CanRetry(const CallPtr& call, const ClientAnswer& answer)
 {
-    constexpr size_t max_targets = 8; // Connections that fail at once must not be tried for ever.
+    constexpr size_t max_targets = 8; // Limits retries after failed connections, which do not count as attempts.
     const TimeUs now = NowUs();
     if (LeftUs(*call, now) <= 0 || IsQuarantined(call.get()) || !IsKeyValid(*call))
     {
@@ -213,7 +214,7 @@
     return allowed && call->Attempts < call->MatchedRoute->AttemptsMost && TakeRetry(call, 1.0);
 }
 
-// A target that refuses though it has free slots is ill, not busy.
+// A target that refuses a request although it reports free slots is unhealthy, not busy.
 static bool RefusedWithCapacity(const Call& call, const ClientAnswer& answer)
 {
     const std::optional<LoadReport> load = ReadLoad(*call.Owner, answer.Headers);
@@ -229,7 +230,7 @@
     }
     if (call->MayHaveRun == 0 && !IsKeyValid(*call))
     {
-        EndCallWith(call, Code_KeyUnknown, "its key was taken away");
+        EndCallWith(call, Code_KeyUnknown, "API key revoked");
         return;
     }
     if (call->MayHaveRun == 0 && RefusedWithCapacity(*call, answer))
@@ -256,11 +257,11 @@
     }
     if (!call->Active.empty())
     {
-        return; // The other attempt goes on.
+        return; // The other attempt is still in flight.
     }
     if (call->Choosing != Choosing_None)
     {
-        call->Choosing = Choosing_First; // The second attempt that is being prepared is the only one now.
+        call->Choosing = Choosing_First; // No attempt is left beside the hedge being prepared: it becomes a retry.
         return;
     }
     if (CanRetry(call, answer))
@@ -280,19 +281,19 @@
     EndUnanswered(call, answer);
 }
 
-// Takes an attempt out of those in progress.
+// Removes the attempt at the target from those in flight.
 static Attempt TakeAttempt(Call* call, const std::string& target)
 {
     const auto found =
         std::find_if(call->Active.begin(), call->Active.end(), [&](const Attempt& attempt) { return attempt.Target == target; });
-    assert(found != call->Active.end() && "an attempt ends once");
+    assert(found != call->Active.end() && "the attempt is not in flight");
     Attempt attempt = *found;
     call->Active.erase(found);
     return attempt;
 }
 
-// The answer to the caller names only the last attempt, and its id only this try of the caller: this line ties both to what was lost
-// before.
+// Logs a lost attempt with both the request id and the key that is the same at all tries of the caller: the final log line of the call
+// names only its last attempt.
 static void LogLost(Call* call, const ClientAnswer& answer)
 {
     Log(LogLevel_Info, Code_OutcomeUnknown, "attempt lost",
@@ -341,7 +342,7 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Sending
+// [SECTION] Sending and hedging
 //-----------------------------------------------------------------------------
 
 static std::vector<Header> HeadersForTarget(const Call& call, const std::string& target, TimeUs now)
@@ -379,9 +380,9 @@
     request.Headers = HeadersForTarget(*call, target.Id, now);
     request.HasBody = !call->Inbound->Body.empty() || call->Inbound->Method == "POST" || call->Inbound->Method == "PUT";
     request.Body = call->Inbound->Body;
-    request.TimeoutUs = LeftUs(*call, now) + UsPerSecond; // The call's own deadline comes first.
+    request.TimeoutUs = LeftUs(*call, now) + UsPerSecond; // DeadlineTimer fires first.
     request.ConnectUs = call->Owner->Config.ConnectUs;
-    // Right before the request leaves: news since the choice may stop it.
+    // Checked again right before sending: the target or the request may have become unusable since the choice.
     request.MaySend = [call, id = target.Id, entry = target.Entry]()
     {
         const PoolTarget* found = PoolFindEntry(&call->Service->Pool, id, entry);
@@ -400,7 +401,8 @@
     return request;
 }
 
-// The first attempt takes much longer than expected: its target is avoided for a while, and the request goes to a second one as well.
+// The first attempt takes much longer than expected: counts a failure against its target, and hedges the request if it may be run more than
+// once.
 static void OnSlowAttempt(const CallPtr& call)
 {
     call->HedgeTimer = nullptr;
@@ -421,7 +423,7 @@
     }
 }
 
-// Looks again when the attempt has taken much longer than expected.
+// Starts the timer that detects a slow attempt.
 static void StartHedgeTimer(const CallPtr& call, const Attempt& attempt)
 {
     const auto patience = static_cast<TimeUs>(call->Owner->Config.SlowFactor * attempt.ExpectedUs);
@@ -457,7 +459,7 @@
     call->Grants.clear();
 }
 
-// The grant for the target; the others are given back.
+// Takes the grant for the target and returns the others.
 static LimitGrant TakeGrant(Call* call, const PoolTarget& target)
 {
     LimitGrant taken;
@@ -493,7 +495,7 @@
 
 void SendTo(const CallPtr& call, PoolTarget* target)
 {
-    assert((call->Retryable || (call->MayHaveRun == 0 && call->Active.empty())) && "it may not be repeated, and may have been run");
+    assert((call->Retryable || (call->MayHaveRun == 0 && call->Active.empty())) && "a request that must not run twice may have been run already");
     const TimeUs now = NowUs();
     Attempt attempt = MakeAttempt(*call, *target, now);
     call->Choosing = Choosing_None;
--- a/gateway/choose.cpp
+++ b/gateway/choose.cpp
@@ -1,10 +1,10 @@
-// choose.cpp: choosing a target for a request: asking targets for their load, and waiting a moment when all are busy.
+// choose.cpp: chooses a target for a request: probes targets for their load, and waits briefly when all are busy.
 //
 // Index of this file:
-// [SECTION] Learning from answers
-// [SECTION] Deciding
-// [SECTION] Asking
-// [SECTION] Waiting
+// [SECTION] Handling probe answers
+// [SECTION] Selecting a target
+// [SECTION] Probing
+// [SECTION] Waiting requests
 
 #include "call.h"
 
@@ -20,10 +20,11 @@
 static void ProbeMore(const CallPtr& call);
 
 //-----------------------------------------------------------------------------
-// [SECTION] Learning from answers
+// [SECTION] Handling probe answers
 //-----------------------------------------------------------------------------
 
-// `entry`: of the target when it was asked. One that has come back since, or started again, was not asked.
+// Updates the pool from a probe's answer. `entry` is the target's pool entry when it was probed; the answer of a target that has left the
+// pool or restarted since is ignored.
 static void LearnFromProbe(Forwarder* forwarder, ServiceState* service, const std::string& id, uint64_t entry, const ClientAnswer& answer)
 {
     PoolTarget* target = PoolFindEntry(&service->Pool, id, entry);
@@ -63,10 +64,10 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Deciding
+// [SECTION] Selecting a target
 //-----------------------------------------------------------------------------
 
-// Whether the target may have one more connection of ours.
+// Whether this instance may open one more connection to the target.
 static bool MayConnect(const Call& call, const PoolTarget& target)
 {
     const int most = call.Spec->ConnectionsMost;
@@ -78,7 +79,8 @@
     return std::find(ids.begin(), ids.end(), id) != ids.end();
 }
 
-// Counts the request against the limit that the target has named, once in a round of choosing. True if it may be sent there.
+// Counts the request against the target's rate limit, if it has set one; once in a round of choosing. Returns false if the limit is
+// reached.
 static bool TakeLimit(Call* call, const PoolTarget& target, TimeUs now)
 {
     const auto holds = [&target](const LimitGrant& grant)
@@ -112,15 +114,15 @@
     return room && TakeLimit(call, target, now);
 }
 
-// Whether a target is good enough to be taken without asking others.
+// Whether a target is good enough to be chosen without probing others.
 static bool IsGood(Call* call, const PoolTarget& target, TimeUs now)
 {
     const TargetPool& pool = call->Service->Pool;
     return PoolCost(pool, target, now) <= pool.Config.GoodCost && HasCapacity(call, target, now);
 }
 
-// Whether the request is expected to be answered in time by a target of that cost: within its aim, as it can be refused before it has been
-// sent and may then be served elsewhere; after that, by its deadline.
+// Whether a target of that cost is expected to answer in time. Before the first attempt that is the route's latency objective, as a refused
+// request may still be served elsewhere in time; after it, the deadline.
 static bool MeetsDeadline(const Call& call, double cost, TimeUs now)
 {
     const bool sent = call.MayHaveRun > 0 || !call.Active.empty();
@@ -128,7 +130,7 @@
     return cost * call.Work->MeanUs < static_cast<double>(left);
 }
 
-// A target passes if it was asked in this round or has had the request already.
+// Targets that were considered in this round or have been sent the request already.
 static std::vector<std::string> ExcludedTargets(const Call& call)
 {
     std::vector<std::string> all = call.Probed;
@@ -163,7 +165,7 @@
     EndCallBusy(call, code, detail);
 }
 
-// The cheapest of those asked that have room; null if none has.
+// The target of lowest cost among those considered in this round that have capacity and a recent report; null if there is none.
 static PoolTarget* BestProbed(Call* call, TimeUs now)
 {
     TargetPool& pool = call->Service->Pool;
@@ -192,14 +194,14 @@
     ProbeMore(call);
 }
 
-// Whether all targets that came into question have asked to be limited: none of them comes free while the request could wait.
+// Whether all candidates are at their rate limits, or all targets have asked for backoff: waiting for a free slot would be useless.
 static bool AllLimited(const Call& call, TimeUs now)
 {
     const bool all_over_limit = !call.OverLimit.empty() && call.OverLimit.size() == call.Probed.size();
     return all_over_limit || (call.Probed.empty() && PoolBackoffEnds(call.Service->Pool, now));
 }
 
-// All targets that may be asked were asked, and none is good.
+// Called when no more targets may be probed and none is good: settles for the best one, waits and probes again, or gives up.
 static void Decide(const CallPtr& call)
 {
     const ForwardConfig& config = call->Owner->Config;
@@ -227,7 +229,7 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Asking
+// [SECTION] Probing
 //-----------------------------------------------------------------------------
 
 static void OnProbed(const CallPtr& call, const std::string& id, bool answered)
@@ -269,7 +271,7 @@
     request.TimeoutUs = AskTimeNow(service->Asks);
     const std::string id = target.Id;
     const std::string id_header = forwarder->Names.TargetId;
-    // An answer to a request that was given up may come instead; it has no such header.
+    // The late answer to a cancelled request may arrive on this connection instead; it lacks this header.
     request.Fits = [id_header](const std::vector<Header>& headers)
     {
         return id_header.empty() || FindHeader(headers, id_header) != nullptr;
@@ -277,7 +279,7 @@
     request.OnHead = [forwarder, service, source = SignalSource{id, target.Life, true}](int status, const std::vector<Header>& headers)
     {
         const std::string* told = FindHeader(headers, forwarder->Names.TargetId);
-        if (told == nullptr || *told == source.Target) // Another one may have its address.
+        if (told == nullptr || *told == source.Target) // Another target may have taken over the address.
         {
             HearTarget(forwarder, service, source, status, headers);
         }
@@ -287,7 +289,7 @@
                { OnProbeAnswer(forwarder, service, id, entry, answer); });
 }
 
-// The target may hang: another one is asked as well.
+// The probed target may hang: allows one more probe beside it.
 static void OnSlowProbe(const CallPtr& call)
 {
     call->SlowProbeTimer = nullptr;
@@ -298,7 +300,7 @@
     }
 }
 
-// Asks the target for its load, or waits for the answer to the same question of another request.
+// Probes the target, or shares the answer to a probe that another request has in flight.
 static void Probe(const CallPtr& call, const PoolTarget& target)
 {
     std::vector<CallPtr>& askers = call->Service->Questions[target.Id];
@@ -314,7 +316,7 @@
     call->Owner->AsksShared++;
 }
 
-// The best of those that are not at their limits; if all are, null.
+// The best target that is not at its rate limit; null if there is none.
 static PoolTarget* NextUnprobed(Call* call)
 {
     const TimeUs now = NowUs();
@@ -330,7 +332,8 @@
     }
 }
 
-// Targets that tell no load are not asked: their health path would wait for a slot. The one with the least of our own work is taken.
+// Targets that report no load are not probed: a request to their health path might have to wait for a slot. Chooses by the load that this
+// instance itself has put on them.
 static void SendUnprobed(const CallPtr& call)
 {
     PoolTarget* target = NextUnprobed(call.get());
@@ -340,7 +343,7 @@
     {
         const bool limited = !call->OverLimit.empty() || PoolBackoffEnds(call->Service->Pool, NowUs());
         const Code_ none = limited ? Code_TargetsLimited : Code_NoTargetLeft;
-        RejectOrFallBack(call, target == nullptr ? none : Code_TargetsBusy, "targets tell no load");
+        RejectOrFallBack(call, target == nullptr ? none : Code_TargetsBusy, "targets report no load");
         return;
     }
     SendTo(call, target);
@@ -371,7 +374,7 @@
         call->Probed.push_back(next->Id);
         if (!TakeLimit(call.get(), *next, now))
         {
-            continue; // Nor is it asked.
+            continue; // A target at its rate limit is not probed either.
         }
         if (!known && MayConnect(*call, *next))
         {
@@ -402,7 +405,7 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Waiting
+// [SECTION] Waiting requests
 //-----------------------------------------------------------------------------
 
 void ServeWaiting(ServiceState* service, const std::string& target_id)
@@ -414,7 +417,7 @@
         const CallPtr waiting = entry.lock();
         if (!waiting || !waiting->Again)
         {
-            continue; // It asks again by now, or has ended.
+            continue; // It is probing again, or has ended.
         }
         still.push_back(entry);
         const bool had_it = std::find(waiting->Tried.begin(), waiting->Tried.end(), target_id) != waiting->Tried.end();
