--- a/gateway/forward.cpp
+++ b/gateway/forward.cpp
@@ -1,10 +1,10 @@
-// forward.cpp: a caller's request from its admission to its end. choose.cpp and attempt.cpp have what lies between.
+// forward.cpp: admits requests and ends them. choose.cpp chooses their targets, attempt.cpp sends them.
 //
 // Index of this file:
-// [SECTION] Ends
+// [SECTION] Ending a call
 // [SECTION] Customers
 // [SECTION] Admission
-// [SECTION] Following plan and directory
+// [SECTION] Updates of plan and directory
 
 #include "forward.h"
 
@@ -22,7 +22,7 @@
 {
 
 //-----------------------------------------------------------------------------
-// [SECTION] Ends
+// [SECTION] Ending a call
 //-----------------------------------------------------------------------------
 
 static void CountCall(const Call& call, Code_ code)
@@ -42,7 +42,7 @@
 {
     const Attempt& last = call.LastAttempt;
     const bool good = code == Code_None && status < 500;
-    const auto write = good ? LogSample : Log; // Failures are never sampled.
+    const auto write = good ? LogSample : Log; // Failures are always logged.
     write(LogLevel_Info, code, code == Code_None ? "answered" : "not answered",
           {{"requestId", call.Id},
            {"route", call.MatchedRoute != nullptr ? call.MatchedRoute->Name : ""},
@@ -68,7 +68,7 @@
 
 void EndCall(const CallPtr& call, Code_ code, const std::string& detail, CallerReply reply)
 {
-    assert(!call->Ended && "a request ends once");
+    assert(!call->Ended && "the call has ended already");
     call->Ended = true;
     call->Choosing = Choosing_None;
     call->DeadlineTimer = nullptr;
@@ -97,7 +97,7 @@
     const int status = FindCode(code).HttpStatus;
     const WireNames& names = call->Owner->Names;
     const bool not_run = status < 500 || status == 503;
-    assert((!not_run || call->MayHaveRun == 0) && "'not run' must be true");
+    assert((!not_run || call->MayHaveRun == 0) && "the status implies 'not run', but a target may have run the request");
     CallerReply reply;
     reply.Status = status;
     reply.Headers.push_back({names.RequestId, call->Id});
@@ -119,7 +119,7 @@
     EndCall(call, code, detail, std::move(reply));
 }
 
-// When one of the targets that were passed over for their limits takes a request again.
+// Mean time until one of the targets that were skipped for their rate limits takes a request again.
 static TimeUs LimitWaitUs(const Call& call)
 {
     double per_us = 0;
@@ -132,7 +132,7 @@
     return per_us > 0 ? static_cast<TimeUs>(1.0 / per_us) : 0;
 }
 
-// When a target takes a request again, as far as targets have asked to be spared; 0 where that is not what the caller waits for.
+// Time until a target takes a request again, where targets have asked for backoff or are at their rate limits; else 0.
 static TimeUs TargetWaitUs(const Call& call, Code_ code, TimeUs now)
 {
     const std::optional<TimeUs> ends = PoolBackoffEnds(call.Service->Pool, now);
@@ -148,7 +148,7 @@
     EndCallWith(call, code, detail, std::min(place + TargetWaitUs(*call, code, now), most));
 }
 
-// Attempts in progress end without an answer.
+// Cancels the attempts in flight, which end without an answer.
 static void AbandonAttempts(const CallPtr& call)
 {
     for (const Attempt& attempt : call->Active)
@@ -197,7 +197,7 @@
     return by != nullptr && by->Id == call.By->Id;
 }
 
-// Finds out whose request it is. False if it must be refused, as it is then.
+// Finds the customer by the request's API key and replaces the key header by the customer's name. Returns false if the request was refused.
 static bool IdentifyCustomer(const CallPtr& call)
 {
     Forwarder* forwarder = call->Owner;
@@ -212,15 +212,15 @@
     }
     if (key && forwarder->Directory.InTrouble)
     {
-        // It may be newer than our plan. "Unknown" would be final to the caller, and another instance may know it.
+        // The key may be newer than this instance's plan. The caller should retry, as another instance may know it.
         EndCallWith(call, Code_KeyNotLearnt, "", forwarder->Config.EmptyRetryUs);
         return false;
     }
-    EndCallWith(call, Code_KeyUnknown, key ? "no customer's key" : "no key");
+    EndCallWith(call, Code_KeyUnknown, key ? "unknown API key" : "no API key");
     return false;
 }
 
-// Counts the request against its customer's quota. False if that is used up: the request is refused then.
+// Counts the request against its customer's quota. Returns false if the quota is used up and the request was refused.
 static bool TakeQuota(const CallPtr& call)
 {
     Forwarder* forwarder = call->Owner;
@@ -251,7 +251,7 @@
     return value != nullptr ? *value : otherwise;
 }
 
-// What the caller's deadline header says; the route's timeout where there is none; none where it is no number of milliseconds.
+// The caller's deadline header; the route's timeout if there is none or it is 0. No value if the header is no number of milliseconds.
 static std::optional<TimeUs> RequestedTimeout(const Call& call)
 {
     const std::string* header = FindHeader(call.Inbound->Headers, call.Owner->Names.Deadline);
@@ -266,7 +266,7 @@
     {
         return std::nullopt;
     }
-    constexpr double longest = 3600.0 * UsPerSecond; // No caller waits longer, and it fits the type.
+    constexpr double longest = 3600.0 * UsPerSecond; // Keeps the conversion to TimeUs within range.
     return ms > 0 ? static_cast<TimeUs>(std::min(ms * static_cast<double>(UsPerMs), longest)) : call.MatchedRoute->TimeoutUs;
 }
 
@@ -296,7 +296,7 @@
     RepeatBudgetRequest(&call->Service->Repeats, NowUs());
     if (call->Spec == nullptr)
     {
-        EndCallWith(call, Code_NoTargetLeft, "the plan has no such service", forwarder->Config.EmptyRetryUs);
+        EndCallWith(call, Code_NoTargetLeft, "service not in plan", forwarder->Config.EmptyRetryUs);
         return;
     }
     if (IsQuarantined(call.get()))
@@ -336,8 +336,7 @@
     }
 }
 
-// An instance that has just started gets its plan within moments; its first callers, who may have been waiting for it, are kept for so
-// long. One that still has no plan then refuses at once.
+// Keeps requests that arrive before the first plan until FirstPlanUs after the start; later ones are refused at once.
 static void AwaitPlan(const CallPtr& call)
 {
     Forwarder* forwarder = call->Owner;
@@ -399,7 +398,7 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Following plan and directory
+// [SECTION] Updates of plan and directory
 //-----------------------------------------------------------------------------
 
 static void FollowPlan(Forwarder* forwarder)
--- a/gateway/held.cpp
+++ b/gateway/held.cpp
@@ -1,8 +1,8 @@
-// held.cpp: requests that end targets: seeing that a target has ended under one, and refusing those that are held.
+// held.cpp: requests that crash targets: detects crashes while a request is in flight, and refuses quarantined requests.
 //
 // Index of this file:
-// [SECTION] Held requests
-// [SECTION] Ends of targets
+// [SECTION] Quarantined requests
+// [SECTION] Crashes of targets
 
 #include "call.h"
 
@@ -14,7 +14,7 @@
 {
 
 //-----------------------------------------------------------------------------
-// [SECTION] Held requests
+// [SECTION] Quarantined requests
 //-----------------------------------------------------------------------------
 
 const std::string& CallKey(Call* call)
@@ -44,7 +44,7 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Ends of targets
+// [SECTION] Crashes of targets
 //-----------------------------------------------------------------------------
 
 static void RecordCrash(Forwarder* forwarder, const std::string& request, const std::string& target)
@@ -57,7 +57,8 @@
     }
     const TimeUs until = QuarantineUntil(forwarder->Held, request, now);
     const bool newly_quarantined = !was_quarantined && until > 0;
-    Log(newly_quarantined ? LogLevel_Warn : LogLevel_Info, newly_quarantined ? Code_RequestHeld : Code_None, newly_quarantined ? "request held" : "target ended",
+    Log(newly_quarantined ? LogLevel_Warn : LogLevel_Info, newly_quarantined ? Code_RequestHeld : Code_None,
+        newly_quarantined ? "request held" : "target ended",
         {{"request", request},
          {"target", target},
          {"ends", QuarantineEnds(forwarder->Held, request)},
@@ -68,7 +69,7 @@
     }
 }
 
-// What a target says, or does not say, right after it closed a connection without an answer.
+// Whether the answer to the check after a connection was closed without an answer shows that the target has crashed.
 static bool HasCrashed(const Forwarder& forwarder, const std::string& id, const ClientAnswer& answer)
 {
     switch (answer.End)
@@ -76,26 +77,26 @@
     case ClientEnd_NotConnected:
     case ClientEnd_Lost:
     case ClientEnd_Broken:
-        return true; // Nobody is there, or something in front of it finds nobody.
+        return true; // Nothing listens there, or a proxy in front of the target cannot reach it.
     case ClientEnd_Answered:
     {
         const std::string* told = FindHeader(answer.Headers, forwarder.Names.TargetId);
-        return told != nullptr && *told != id; // Another one has its address already.
+        return told != nullptr && *told != id; // Another target has taken over the address.
     }
     default:
-        return false; // It lives, or nothing can be known: it may be cut off, or stand still.
+        return false; // It is alive, or its state is unknown: it may be unreachable or hang.
     }
 }
 
-// A target that has only cut our connection answers a question on a new one. Where it has no health path nothing is sent: that a connection
-// comes up must do.
+// A target that has only closed the connection answers a health request on a new one. Where the service has no health path, nothing is
+// sent: a connection that is accepted shows that the target is alive.
 void CheckForCrash(Call* call, const Attempt& attempt)
 {
     Forwarder* forwarder = call->Owner;
     const PoolTarget* target = PoolFindEntry(&call->Service->Pool, attempt.Target, attempt.Entry);
     if (target == nullptr)
     {
-        return; // It leaves, or has left: its end is planned.
+        return; // It is draining or has left: an intended stop.
     }
     ClientRequest request;
     request.Address = attempt.Address;
@@ -106,17 +107,17 @@
     {
         return asks;
     };
-    const auto looked = [forwarder, key = CallKey(call), attempt](const ClientAnswer& answer)
+    const auto on_checked = [forwarder, key = CallKey(call), attempt](const ClientAnswer& answer)
     {
         if (HasCrashed(*forwarder, attempt.Target, answer))
         {
             RecordCrash(forwarder, key, TargetLife(attempt.Target, attempt.Life));
         }
     };
-    ClientSend(forwarder->Targets, std::move(request), looked);
+    ClientSend(forwarder->Targets, std::move(request), on_checked);
 }
 
-// A target that was asked right before lived when the request was sent: it has not been silent from the start, as one is that ended before.
+// Whether a recent load report shows that the target was alive when the request was sent. Otherwise it may have crashed before.
 static bool WasAliveWhenSent(const Forwarder& forwarder, const Attempt& attempt)
 {
     return attempt.ReportUs > 0 && attempt.SentUs - attempt.ReportUs <= forwarder.Config.ReuseUs;
