--- a/gateway/client.cpp
+++ b/gateway/client.cpp
@@ -1,14 +1,14 @@
-// client.cpp: HTTP to targets, the store and peers, on libcurl inside the event loop.
+// client.cpp: HTTP client for targets, the store and other instances, on libcurl inside the event loop.
 //
-// Two traps of libcurl are closed here. A request on a kept connection that the other side closes without an answer would be sent a second
-// time, POST included: the pre-request callback aborts its second call. A surplus answer on a kept connection would be taken for the answer
-// of the next request: the caller's Fits() looks at the headers before anything is believed.
+// Two properties of libcurl need care. It sends a request again, even a POST, when a reused connection is closed without an answer: the
+// pre-request callback aborts the second send. It takes a surplus answer on a reused connection for the answer to the next request:
+// ClientRequest::Fits() checks the headers first.
 //
 // Index of this file:
 // [SECTION] Calls
 // [SECTION] libcurl's callbacks
-// [SECTION] Silent connections
-// [SECTION] Ends
+// [SECTION] Dead connections
+// [SECTION] Ending a call
 // [SECTION] The event loop
 // [SECTION] Sending
 
@@ -22,8 +22,8 @@
 namespace Winchlink
 {
 
-static constexpr long MaxIdleConnections = 256; // Idle ones over all targets; each target sees far fewer.
-static constexpr long MaxIdleReuseSeconds = 8;  // Targets close idle connections after 10 s and more.
+static constexpr long MaxIdleConnections = 256; // Over all addresses together.
+static constexpr long MaxIdleReuseSeconds = 8;  // Less than the idle timeout of targets, which close connections after 10 s or more.
 
 //-----------------------------------------------------------------------------
 // [SECTION] Calls
@@ -41,12 +41,12 @@
     CURL* Easy = nullptr;
     HeaderList Headers{nullptr, curl_slist_free_all};
     TimeUs StartedUs = 0;
-    bool Sent = false;             // The request was about to leave.
-    bool ClosedUnanswered = false; // The connection closed without an answer; libcurl wanted to send the request again.
-    bool Withheld = false;         // MaySend said no.
+    bool Sent = false;             // The pre-request callback has let the request be sent.
+    bool ClosedUnanswered = false; // The connection was closed without an answer, and libcurl's resend was prevented.
+    bool Withheld = false;         // MaySend returned false.
     bool Mismatched = false;       // The answer belongs to another request.
-    bool TooLarge = false;         // The answer is over its limit.
-    bool HeadRead = false;         // All headers of the answer were read.
+    bool TooLarge = false;         // The body is larger than AnswerMost.
+    bool HeadRead = false;         // All headers of the final answer were received.
 };
 
 //-----------------------------------------------------------------------------
@@ -78,7 +78,7 @@
     return static_cast<int>(status);
 }
 
-// All headers of a message were read; it may be an interim answer, which says nothing.
+// Called when all headers of a response have been received. Interim (1xx) responses are ignored.
 static void OnHeadersComplete(ClientCall* call)
 {
     constexpr int first_final = 200;
@@ -99,7 +99,7 @@
     const std::string line(data, size * count);
     if (line.compare(0, 5, "HTTP/") == 0)
     {
-        call->Answer.Headers.clear(); // An interim answer came before; only the last one counts.
+        call->Answer.Headers.clear(); // Discards the headers of an interim response.
         return line.size();
     }
     if (line == "\r\n" || line == "\n")
@@ -140,11 +140,11 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Silent connections
+// [SECTION] Dead connections
 //-----------------------------------------------------------------------------
 
-// No byte came on a kept connection in the whole time that the request had. Its other side may be slow; or the connection is dead, and so
-// may be all others to that address: each would cost a question to find out, and a request that may not be repeated would be lost.
+// Records a request that timed out on a reused connection without any response. The server may just be slow; but if the connection is dead,
+// others to the same address may be dead too, and each request sent on one of them would be lost.
 static void NoteSilentConnection(ClientCall* call)
 {
     const bool silent = call->Answer.End == ClientEnd_TimedOut && !call->Answer.NewConnection && !call->HeadRead;
@@ -158,8 +158,8 @@
     Log(LogLevel_Info, Code_None, "kept connection silent", {{"address", call->Request.Address}, {"tookUs", call->Answer.TookUs}});
 }
 
-// Keeps a request off connections that were opened before the latest silence. libcurl compares their ages in whole seconds, so that a
-// second is taken off, and for the first two only a new connection is sure.
+// Prevents reuse of connections that were opened before the latest such timeout. libcurl compares connection ages in whole seconds, so one
+// second is subtracted, and during the first two seconds a new connection is forced.
 static void AvoidSilent(Client* client, const ClientRequest& request, CURL* easy)
 {
     const auto found = client->Silent.find(request.Address);
@@ -170,7 +170,7 @@
     const auto seconds = static_cast<long>((NowUs() - found->second) / UsPerSecond);
     if (seconds > MaxIdleReuseSeconds)
     {
-        client->Silent.erase(found); // All that were open then have rested for too long by now.
+        client->Silent.erase(found); // Connections that were open then are too old for reuse by now.
         return;
     }
     if (seconds < 2)
@@ -182,7 +182,7 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Ends
+// [SECTION] Ending a call
 //-----------------------------------------------------------------------------
 
 static ClientEnd_ EndOf(const ClientCall& call, CURLcode result)
@@ -224,7 +224,7 @@
     answer.Body.clear();
 }
 
-// Takes the call out of the client; its handle is kept for another one.
+// Removes the call from the client and its handle from libcurl; null if there is no such call.
 static std::unique_ptr<ClientCall> RemoveCall(Client* client, uint64_t id)
 {
     const auto found = client->Calls.find(id);
@@ -265,7 +265,7 @@
     {
         if (message->msg == CURLMSG_DONE)
         {
-            Finish(client, message->easy_handle, message->data.result); // May send or cancel other requests.
+            Finish(client, message->easy_handle, message->data.result); // The callback may send or cancel other requests.
         }
     }
 }
@@ -342,12 +342,12 @@
     {
         curl_easy_cleanup(easy);
     }
-    curl_multi_cleanup(Multi); // Still closes sockets, and so ends their watches.
+    curl_multi_cleanup(Multi); // Calls OnSocket(), which ends the watches.
 }
 
 void ClientStart(Client* client, EventLoop* loop)
 {
-    assert(client->Multi == nullptr && "the client runs already");
+    assert(client->Multi == nullptr && "the client was started already");
     client->Loop = loop;
     client->Multi = curl_multi_init();
     curl_multi_setopt(client->Multi, CURLMOPT_SOCKETFUNCTION, OnSocket);
@@ -366,7 +366,7 @@
     curl_slist* list = nullptr;
     for (const Header& header : headers)
     {
-        // curl drops "Name:" and sends "Name;" as an empty header.
+        // libcurl drops "Name:" and sends "Name;" as a header without a value.
         const std::string line = header.Value.empty() ? header.Name + ";" : header.Name + ": " + header.Value;
         list = curl_slist_append(list, line.c_str());
     }
@@ -375,7 +375,7 @@
         const std::string name(unwanted, std::string(unwanted).size() - 1);
         if (FindHeader(headers, name) == nullptr)
         {
-            list = curl_slist_append(list, unwanted); // What the caller did not send is not added either.
+            list = curl_slist_append(list, unwanted); // Prevents libcurl from adding its default headers.
         }
     }
     return HeaderList(list, curl_slist_free_all);
@@ -456,18 +456,18 @@
     ConfigureHandle(call.get());
     CURL* easy = call->Easy;
     client->Calls[id] = std::move(call);
-    curl_multi_add_handle(client->Multi, easy); // Asks for a timeout of 0, so all that follows runs from the loop.
+    curl_multi_add_handle(client->Multi, easy); // Only requests a timeout of 0: all callbacks run from the event loop.
     return id;
 }
 
 ClientAnswer ClientAsk(Client* client, ClientRequest request)
 {
-    const TimeUs limit = request.TimeoutUs + UsPerSecond; // The request's own timeout comes first.
+    const TimeUs limit = request.TimeoutUs + UsPerSecond; // The request's own timeout fires first.
     std::optional<ClientAnswer> got;
     const uint64_t id = ClientSend(client, std::move(request), [&got](ClientAnswer answer) { got = std::move(answer); });
     if (!LoopRunUntil(client->Loop, limit, [&got]() { return got.has_value(); }))
     {
-        ClientCancel(client, id); // The loop was held up for long.
+        ClientCancel(client, id); // The event loop was blocked for long.
         got.emplace();
         got->End = ClientEnd_TimedOut;
         got->Detail = "no answer";
--- a/gateway/client.h
+++ b/gateway/client.h
@@ -1,8 +1,8 @@
-// client.h: HTTP to targets, the store and peers, on libcurl inside the event loop.
+// client.h: HTTP client for targets, the store and other instances, on libcurl inside the event loop.
 //
-// How to use it: ClientStart() once, then ClientSend() for each request; its callback is called once, unless ClientCancel() comes first.
-// A request leaves at most once: libcurl's own replay on a connection that died is stopped. A kept connection may go silent for good
-// without being reset; once a request has found one so, all connections to that address that are older are left.
+// How to use it: ClientStart() once, then ClientSend() for each request; its callback is called exactly once, unless ClientCancel() comes
+// first. A request is sent at most once: libcurl's automatic resend on a dead connection is prevented. A kept-alive connection can be dead
+// without having been reset; once a request has timed out on one, older connections to that address are not reused.
 
 #pragma once
 
@@ -16,43 +16,47 @@
 
 struct ClientRequest
 {
-    std::string Address;                                         // IP:port.
-    std::string Method = "GET";                                  // As it goes on the wire.
-    std::string Target;                                          // Path and query, untouched.
-    std::vector<Header> Headers;                                 // Ready to be sent.
-    std::string Body;                                            // Sent with its length.
-    bool HasBody = false;                                        // Send Body even if it is empty.
-    TimeUs TimeoutUs = UsPerSecond;                              // To the last byte of the answer.
-    TimeUs ConnectUs = 0;                                        // To the connection; 0: as long as TimeoutUs.
-    size_t AnswerMost = 16 * MiB;                                // Largest answer body in bytes.
-    bool NewConnection = false;                                  // Don't take a kept connection.
-    std::function<bool()> MaySend;                               // Asked right before the request leaves; may be empty.
-    std::function<bool(const std::vector<Header>&)> Fits;        // False: these headers belong to another request. May be empty.
-    std::function<void(int, const std::vector<Header>&)> OnHead; // The status and all headers of the answer are there, and fit, whatever
-                                                                 // becomes of the rest. It must not send or cancel. May be empty.
+    std::string Address;            // IP:port.
+    std::string Method = "GET";     // HTTP method, sent as it is.
+    std::string Target;             // Path and query, sent as they are.
+    std::vector<Header> Headers;    // Sent as they are.
+    std::string Body;               // Sent with Content-Length.
+    bool HasBody = false;           // Send Body even if it is empty.
+    TimeUs TimeoutUs = UsPerSecond; // From ClientSend() to the last byte of the answer.
+    TimeUs ConnectUs = 0;           // For the connection to be established; 0: TimeoutUs applies.
+    size_t AnswerMost = 16 * MiB;   // Largest answer body in bytes.
+    bool NewConnection = false;     // Don't reuse a connection.
+    std::function<bool()> MaySend;  // Called right before the request is sent; false withholds it. May be empty.
+
+    // Returns false if these headers belong to the answer of another request. May be empty.
+    std::function<bool(const std::vector<Header>&)> Fits;
+
+    // Called with status and headers once all headers have arrived and Fits() accepted them, even if the answer fails later. It must not
+    // send or cancel requests. May be empty.
+    std::function<void(int, const std::vector<Header>&)> OnHead;
 };
 
 enum ClientEnd_ : int
 {
     ClientEnd_None,
-    ClientEnd_Answered,     // A whole answer came.
-    ClientEnd_NotConnected, // No connection came up: nothing was sent.
-    ClientEnd_Withheld,     // MaySend said no: nothing was sent.
-    ClientEnd_Lost,         // It was sent, and no whole answer came: reset, closed, or no HTTP.
-    ClientEnd_Broken,       // An answer came that is not this request's, or not whole.
-    ClientEnd_TimedOut,     // It was sent, and no whole answer came in time.
+    ClientEnd_Answered,     // A complete answer was received.
+    ClientEnd_NotConnected, // No connection could be established; nothing was sent.
+    ClientEnd_Withheld,     // MaySend returned false; nothing was sent.
+    ClientEnd_Lost,         // The request was sent, and the connection ended before the headers of an answer were complete.
+    ClientEnd_Broken,       // The answer is incomplete, invalid, or that of another request.
+    ClientEnd_TimedOut,     // The request was sent, and no complete answer came in time.
     ClientEnd_COUNT,
 };
 
 struct ClientAnswer
 {
     ClientEnd_ End = ClientEnd_None;
-    int Status = 0;              // Only if Answered, as are the next two.
-    std::vector<Header> Headers; //
-    std::string Body;            //
-    std::string Detail;          // What went wrong, for the log.
-    TimeUs TookUs = 0;           // From ClientSend() to the end.
-    bool NewConnection = false;  // A connection was opened for it.
+    int Status = 0; // Set only if End is ClientEnd_Answered; the same holds for Headers and Body.
+    std::vector<Header> Headers;
+    std::string Body;
+    std::string Detail;         // Cause of a failure, for the log.
+    TimeUs TookUs = 0;          // Time from ClientSend() to the end.
+    bool NewConnection = false; // The request opened a new connection.
 };
 
 using ClientDone = std::function<void(ClientAnswer)>;
@@ -63,15 +67,15 @@
 {
     EventLoop* Loop = nullptr;
     CURLM* Multi = nullptr;
-    Timer Timeout;                                         // libcurl's next timeout.
-    std::map<curl_socket_t, Watch> Sockets;                // Watched for libcurl.
-    std::map<uint64_t, std::unique_ptr<ClientCall>> Calls; // In progress, by id.
-    std::vector<CURL*> Spare;                              // Easy handles to be used again.
-    std::map<std::string, TimeUs> Silent;                  // By address: when a kept connection was last found silent.
-    uint64_t LastId = 0;                                   // Of the latest call.
-    uint64_t ConnectionsOpened = 0;                        // Counters.
-    uint64_t ReplaysStopped = 0;
-    uint64_t SilencesSeen = 0;
+    Timer Timeout;                                         // Next timeout requested by libcurl.
+    std::map<curl_socket_t, Watch> Sockets;                // Sockets watched for libcurl.
+    std::map<uint64_t, std::unique_ptr<ClientCall>> Calls; // In flight, by id.
+    std::vector<CURL*> Spare;                              // Easy handles for reuse.
+    std::map<std::string, TimeUs> Silent;                  // By address: when a request last timed out on a reused connection.
+    uint64_t LastId = 0;                                   // Id of the latest call.
+    uint64_t ConnectionsOpened = 0;                        // Counter.
+    uint64_t ReplaysStopped = 0;                           // Counter: resends by libcurl that were prevented.
+    uint64_t SilencesSeen = 0;                             // Counter: requests that timed out on a reused connection.
 
     Client();
     ~Client();
@@ -81,13 +85,14 @@
 
 void ClientStart(Client* client, EventLoop* loop);
 
-// Sends a request and returns its id. `done` is never called before this function returns.
+// Sends a request and returns its id. `done` is called from the event loop, never before this function returns.
 uint64_t ClientSend(Client* client, ClientRequest request, ClientDone done);
 
-// Sends a request and runs the loop until its answer is there: for commands and tools that have nothing else to do meanwhile.
+// Sends a request and runs the event loop until it has ended. For commands and tools.
 ClientAnswer ClientAsk(Client* client, ClientRequest request);
 
-// Ends a request; its connection is closed, so that the other side may stop its work. Unknown ids are ignored: it has ended.
+// Cancels a request; `done` is not called. Closes its connection, so that the server can stop the work. Ids of requests that have ended are
+// ignored.
 void ClientCancel(Client* client, uint64_t id);
 
 } // namespace Winchlink
--- a/gateway/forward.cpp
+++ b/gateway/forward.cpp
@@ -143,12 +143,12 @@
 {
     const TimeUs now = NowUs();
     const auto left = static_cast<double>(std::max<TimeUs>(call->CallerDeadlineUs - now, 0));
-    const auto most = static_cast<TimeUs>(call->Owner->Config.MaxRetryAfterShare * left);
-    const TimeUs place = ReturnScheduleTake(&call->Service->Returns, now, call->Owner->Rng);
-    EndCallWith(call, code, detail, std::min(place + TargetWaitUs(*call, code, now), most));
+    const auto max_wait = static_cast<TimeUs>(call->Owner->Config.MaxRetryAfterShare * left);
+    const TimeUs return_wait = ReturnScheduleTake(&call->Service->Returns, now, call->Owner->Rng);
+    EndCallWith(call, code, detail, std::min(return_wait + TargetWaitUs(*call, code, now), max_wait));
 }
 
-// Cancels the attempts in flight, which end without an answer.
+// Cancels the attempts in flight and records them as unanswered.
 static void AbandonAttempts(const CallPtr& call)
 {
     for (const Attempt& attempt : call->Active)
--- a/gateway/forward.h
+++ b/gateway/forward.h
@@ -20,23 +20,23 @@
 
 struct ForwardConfig
 {
-    TimeUs SlowProbeUs = 5 * UsPerMs; // A probe that takes longer is slow: another target is probed beside it.
-    int MaxProbes = 8;                // Probes for one attempt.
-    size_t MaxOverLimit = 64;         // Targets at their rate limits that are skipped for one attempt: bounds the time spent on them.
-    TimeUs ReuseUs = 8 * UsPerMs;     // A target with a younger report is not probed again.
-    TimeUs AskAgainUs = 20 * UsPerMs; // All targets busy: delay before probing again.
-    double MaxChooseShare = 0.2;      // Part of a route's latency objective that choosing a target may take.
-    int MaxUnprobedFactor = 2; // Where targets report no load: limit on this instance's requests at one target, as a multiple of its slots.
-    TimeUs ConnectUs = 250 * UsPerMs;         // Timeout for connecting to a target.
-    double MaxRetryAfterShare = 0.5;          // Upper bound of Retry-After, as a part of the caller's remaining time.
-    TimeUs UnhealthyRetryUs = 50 * UsPerMs;   // Retry-After where a target refused although it had free slots.
-    TimeUs FirstPlanUs = 600 * UsPerMs;       // After a start, requests wait so long for the first plan.
-    size_t NeedyCallers = 6;                  // Forwarder::OnNeeded is called each time so many more requests wait for the first plan.
-    TimeUs EmptyRetryUs = 500 * UsPerMs;      // Retry-After where there is no target or no plan yet.
-    double SlowFactor = 1.7;                  // An attempt that takes so many times as long as expected is slow.
-    double HedgeShare = 0.4;                  // Part of the retry budget that hedged requests may use.
-    TimeUs HedgeRetryUs = 50 * UsPerMs;       // No target found for a hedge: delay before trying again.
-    double RepeatShare = 0.2;                 // See RepeatBudget.
+    TimeUs SlowProbeUs = 5 * UsPerMs;       // A probe that takes longer is slow: another target is probed beside it.
+    int MaxProbes = 8;                      // Probes for one attempt.
+    size_t MaxOverLimit = 64;               // Targets at their rate limits that are skipped for one attempt: bounds the time spent on them.
+    TimeUs ReuseUs = 8 * UsPerMs;           // A target with a younger report is not probed again.
+    TimeUs AskAgainUs = 20 * UsPerMs;       // All targets busy: delay before probing again.
+    double MaxChooseShare = 0.2;            // Part of a route's latency objective that choosing a target may take.
+    int MaxUnprobedFactor = 2;              // Where targets report no load: bounds own requests at one target, as a multiple of its slots.
+    TimeUs ConnectUs = 250 * UsPerMs;       // Timeout for connecting to a target.
+    double MaxRetryAfterShare = 0.5;        // Upper bound of Retry-After, as a part of the caller's remaining time.
+    TimeUs UnhealthyRetryUs = 50 * UsPerMs; // Retry-After where a target refused although it had free slots.
+    TimeUs FirstPlanUs = 600 * UsPerMs;     // After a start, requests wait so long for the first plan.
+    size_t NeedyCallers = 6;                // Forwarder::OnNeeded is called each time so many more requests wait for the first plan.
+    TimeUs EmptyRetryUs = 500 * UsPerMs;    // Retry-After where there is no target or no plan yet.
+    double SlowFactor = 1.7;                // An attempt that takes so many times as long as expected is slow.
+    double HedgeShare = 0.4;                // Part of the retry budget that hedged requests may use.
+    TimeUs HedgeRetryUs = 50 * UsPerMs;     // No target found for a hedge: delay before trying again.
+    double RepeatShare = 0.2;               // See RepeatBudget.
     TimeUs RepeatWindowUs = 10 * UsPerSecond; // See RepeatBudget.
 };
 
@@ -60,8 +60,8 @@
     AskTime Asks;                             // Timeout of probes, adapted to the targets' response times.
     ReturnSchedule Returns;                   // Computes Retry-After for callers refused because targets were busy.
     std::vector<std::weak_ptr<Call>> Waiting; // Requests that found all targets busy and will probe again.
-    std::map<std::string, std::vector<std::shared_ptr<Call>>>
-        Questions;                           // Probes in flight, by target id: the requests that await the answer.
+    // Probes in flight, by target id: the requests that await the answer.
+    std::map<std::string, std::vector<std::shared_ptr<Call>>> Questions;
     int InProgress = 0;                      // Requests not answered yet.
     std::optional<std::string> FollowedFrom; // Value of Forwarder::DataCentre at the last update of Pool.
     RowMetrics Metrics;
