--- a/gateway/forward.cpp
+++ b/gateway/forward.cpp
@@ -153,7 +153,7 @@
 {
     for (const Attempt& attempt : call->Active)
     {
-        NoteUnanswered(call.get(), attempt);
+        RecordUnanswered(call.get(), attempt);
     }
     CancelAttempts(call);
 }
--- a/gateway/target_ends.cpp
+++ b/gateway/target_ends.cpp
@@ -1,9 +1,9 @@
-// target_ends.cpp: what instances tell each other of requests that end targets.
+// target_ends.cpp: exchange between instances of which requests have crashed targets.
 //
 // Index of this file:
 // [SECTION] Messages
-// [SECTION] Telling
-// [SECTION] What is heard
+// [SECTION] Sending updates
+// [SECTION] Receiving updates
 
 #include "target_ends.h"
 
@@ -46,7 +46,7 @@
     const bool whole = bytes.size() > NumberBytes && Checksum(coded) == NumberAt(bytes, 0);
     if (!whole || !DecodeMessage(coded, &message))
     {
-        return Error{Code_MessageMalformed, "not coded as it should be"};
+        return Error{Code_MessageMalformed, "checksum or encoding is wrong"};
     }
     return message;
 }
@@ -57,7 +57,7 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Telling
+// [SECTION] Sending updates
 //-----------------------------------------------------------------------------
 
 static void NotifyFollowers(TargetEnds* ends)
@@ -67,11 +67,11 @@
     ends->OnTell();
 }
 
-// What a call is for.
+// Purpose of a call.
 enum EndsCall_ : int
 {
-    EndsCall_Push,    // All that we know.
-    EndsCall_Compare, // Whether the other one knows the same.
+    EndsCall_Push,    // Sends all known entries.
+    EndsCall_Compare, // Sends only the digest, to compare.
 };
 
 static void OnCalled(TargetEnds* ends, EndsCall_ kind, const ClientAnswer& answer);
@@ -126,10 +126,10 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] What is heard
+// [SECTION] Receiving updates
 //-----------------------------------------------------------------------------
 
-// Takes what another instance knows; our followers hear of what is new to us. True if anything was.
+// Adds another instance's entries and notifies the followers of new ones. Returns true if there were any.
 static bool Merge(TargetEnds* ends, const TargetEndsMessage& message)
 {
     const bool changed = QuarantineTake(ends->Known, message.News, NowUs());
@@ -150,7 +150,7 @@
     return message;
 }
 
-// Of two that differ after they have compared, the other one knows less.
+// Handles the answer to a call. If digests still differ after a comparison, the other instance lacks entries: a push follows.
 static void MergeAnswer(TargetEnds* ends, EndsCall_ kind, const std::string& bytes)
 {
     const Result<TargetEndsMessage> message = DecodeOrLog(bytes);
@@ -201,10 +201,10 @@
     {
         return;
     }
-    const std::string question = EncodeTargetEnds({ends->Known->Digest, {}});
+    const std::string digest_only = EncodeTargetEnds({ends->Known->Digest, {}});
     for (const std::string& address : ends->Others())
     {
-        SendCall(ends, EndsCall_Compare, address, question);
+        SendCall(ends, EndsCall_Compare, address, digest_only);
     }
 }
 
--- a/gateway/target_ends.h
+++ b/gateway/target_ends.h
@@ -1,12 +1,14 @@
-// target_ends.h: what instances tell each other of requests that end targets (Quarantine in winchlink.h).
+// target_ends.h: exchange between instances of which requests have crashed targets (Quarantine in winchlink.h).
 //
-// News go along the tree in which instances follow each other, both ways: whoever knows something new tells the instance that it follows,
-// and its own followers see by a digest in their next answer, which comes at once, that they know less or more. There may be more than
-// one tree for a while, as several instances may read the store: those tell the first contacts, and ask them again as long as anything is
-// known. Each exchange is one call that carries all that either knows; there is none on nearly all days. So a fleet of 6,600 knows within
-// some eight such calls, and whoever was cut off, or has just started, hears with the first answer of whatever instance it follows.
+// Updates travel both ways along the tree in which instances follow each other. An instance with new entries pushes them to its source. Its
+// followers are notified by a digest in the next long-poll answer, which is sent at once; if theirs differs, they push all that they know
+// and get the instance's entries in the answer. Several instances may read the store, so there can be more than one tree for a while: these
+// push to the seeds, and compare digests with them as long as anything is known. Each exchange is one call that carries all entries that
+// either side knows; there are no calls while nothing is known. An instance that was cut off, or has just started, catches up with the
+// first answer of its source.
 //
-// How to use it: fill the struct, TargetEndsChanged() after each change of what is known, and the other two where calls arrive.
+// How to use it: fill in a TargetEnds, call TargetEndsChanged() after each local change of the quarantine, TargetEndsHeard() for each
+// answer of the source, TargetEndsTold() for each incoming call, and TargetEndsCompare() regularly in instances that read the store.
 
 #pragma once
 
@@ -17,43 +19,44 @@
 
 struct TargetEnds
 {
-    TimeUs GatherUs = 100 * UsPerMs;  // Shortest time between two calls, and between two words to followers: a target that ends under nine
-                                      // requests is told of once. News have three seconds, and a tree of 6,600 takes six steps.
-    TimeUs TimeoutUs = 600 * UsPerMs; // Of a call; the next answer of the source brings another one.
-    TimeUs ConnectUs = 100 * UsPerMs; // For its connection, on our own network.
+    TimeUs GatherUs = 100 * UsPerMs;  // Shortest time between two rounds of calls, and between two notifications of followers.
+    TimeUs TimeoutUs = 600 * UsPerMs; // Timeout of a call. A failed call is not retried: the source's next answer triggers another.
+    TimeUs ConnectUs = 100 * UsPerMs; // Timeout for its connection.
     EventLoop* Loop = nullptr;
     Client* Calls = nullptr;
     Quarantine* Known = nullptr;
-    std::function<std::vector<std::string>()> Others; // Whom to tell: the instance that is followed, or the first contacts.
-    std::function<void()> OnTell;                     // Our followers are to be told.
-    int InProgress = 0;                               // Calls.
-    bool Wanted = false;                              // Others are to follow these.
-    TimeUs CalledUs = 0;                              // When the last call began.
-    TimeUs ToldUs = 0;                                // When followers were last told.
-    Timer Calling;                                    // The next calls.
-    Timer Telling;                                    // The next word to followers.
+    std::function<std::vector<std::string>()> Others; // Addresses to push to: the source, or the seeds.
+    std::function<void()> OnTell;                     // Called to notify the followers.
+    int InProgress = 0;                               // Calls in flight.
+    bool Wanted = false;                              // More calls are to follow these.
+    TimeUs CalledUs = 0;                              // Start of the last round of calls.
+    TimeUs ToldUs = 0;                                // Time of the last notification of followers.
+    Timer Calling;                                    // Starts the next round of calls.
+    Timer Telling;                                    // Sends the next notification to followers.
     uint64_t CallsMade = 0;                           // Counter.
 };
 
 struct TargetEndsMessage
 {
-    uint64_t Digest = 0;             // Of all that the sender knows, see Quarantine.
-    std::vector<TargetEndNews> News; // All of that, or nothing: it only asks whether the other one knows the same.
+    uint64_t Digest = 0;             // Digest of all entries that the sender knows, see Quarantine.
+    std::vector<TargetEndNews> News; // All these entries; empty to compare digests only.
 };
 
-// This instance has learnt something itself.
+// This instance itself has changed the quarantine.
 void TargetEndsChanged(TargetEnds* ends);
 
-// The instance that we follow has answered; `digest` is of what it knows.
+// The source has answered a poll; `digest` is of the entries that it knows.
 void TargetEndsHeard(TargetEnds* ends, uint64_t digest);
 
-// Asks the others whether they know the same, if anything is known. For those that nobody answers: they read the store.
+// Compares digests with the others, if anything is known. For instances that read the store, which have no source whose answers carry a
+// digest.
 void TargetEndsCompare(TargetEnds* ends);
 
-// Another instance tells what it knows. Returns what we know, or nothing where it knows all of that.
+// Handles an incoming call. Returns the answer: all entries that this instance knows, or an empty string if the digests are equal after the
+// update.
 std::string TargetEndsTold(TargetEnds* ends, const std::string& bytes);
 
-// Bytes of a message, and back. Code_MessageMalformed for what is no message.
+// Encodes and decodes a message. Decoding returns Code_MessageMalformed for invalid bytes.
 std::string EncodeTargetEnds(const TargetEndsMessage& message);
 Result<TargetEndsMessage> DecodeTargetEnds(const std::string& bytes);
 
