--- a/gateway/attempt.cpp
+++ b/gateway/attempt.cpp
@@ -389,12 +389,12 @@
         const bool usable = found != nullptr && PoolMayUse(*found, NowUs());
         return !call->Ended && LeftUs(*call, NowUs()) > 0 && usable && !IsQuarantined(call.get()) && IsKeyValid(*call);
     };
-    request.Fits = [call](const std::vector<Header>& headers)
+    request.AcceptsHeaders = [call](const std::vector<Header>& headers)
     {
         const std::string* id = FindHeader(headers, call->Owner->Names.RequestId);
         return id != nullptr ? *id == call->Id : !call->Owner->Names.AnswersNameRequest;
     };
-    request.OnHead = [call, source = SignalSource{target.Id, target.Life, false}](int status, const std::vector<Header>& headers)
+    request.OnHeaders = [call, source = SignalSource{target.Id, target.Life, false}](int status, const std::vector<Header>& headers)
     {
         HearTarget(call->Owner, call->Service, source, status, headers);
     };
@@ -495,7 +495,8 @@
 
 void SendTo(const CallPtr& call, PoolTarget* target)
 {
-    assert((call->Retryable || (call->MayHaveRun == 0 && call->Active.empty())) && "a request that must not run twice may have been run already");
+    assert((call->Retryable || (call->MayHaveRun == 0 && call->Active.empty())) &&
+           "a request that must not run twice may have been run already");
     const TimeUs now = NowUs();
     Attempt attempt = MakeAttempt(*call, *target, now);
     call->Choosing = Choosing_None;
--- a/gateway/choose.cpp
+++ b/gateway/choose.cpp
@@ -272,11 +272,11 @@
     const std::string id = target.Id;
     const std::string id_header = forwarder->Names.TargetId;
     // The late answer to a cancelled request may arrive on this connection instead; it lacks this header.
-    request.Fits = [id_header](const std::vector<Header>& headers)
+    request.AcceptsHeaders = [id_header](const std::vector<Header>& headers)
     {
         return id_header.empty() || FindHeader(headers, id_header) != nullptr;
     };
-    request.OnHead = [forwarder, service, source = SignalSource{id, target.Life, true}](int status, const std::vector<Header>& headers)
+    request.OnHeaders = [forwarder, service, source = SignalSource{id, target.Life, true}](int status, const std::vector<Header>& headers)
     {
         const std::string* told = FindHeader(headers, forwarder->Names.TargetId);
         if (told == nullptr || *told == source.Target) // Another target may have taken over the address.
--- a/gateway/client.cpp
+++ b/gateway/client.cpp
@@ -2,7 +2,7 @@
 //
 // Two properties of libcurl need care. It sends a request again, even a POST, when a reused connection is closed without an answer: the
 // pre-request callback aborts the second send. It takes a surplus answer on a reused connection for the answer to the next request:
-// ClientRequest::Fits() checks the headers first.
+// ClientRequest::AcceptsHeaders() checks the headers first.
 //
 // Index of this file:
 // [SECTION] Calls
@@ -86,10 +86,10 @@
     const std::vector<Header>& headers = call->Answer.Headers;
     const int status = StatusOf(*call);
     call->HeadRead = status >= first_final;
-    call->Mismatched = call->HeadRead && request.Fits && !request.Fits(headers);
-    if (call->HeadRead && !call->Mismatched && request.OnHead)
+    call->Mismatched = call->HeadRead && request.AcceptsHeaders && !request.AcceptsHeaders(headers);
+    if (call->HeadRead && !call->Mismatched && request.OnHeaders)
     {
-        request.OnHead(status, headers);
+        request.OnHeaders(status, headers);
     }
 }
 
@@ -241,7 +241,7 @@
 static void RecycleHandle(Client* client, ClientCall* call)
 {
     curl_easy_reset(call->Easy);
-    client->Spare.push_back(call->Easy);
+    client->IdleHandles.push_back(call->Easy);
     call->Easy = nullptr;
 }
 
@@ -338,7 +338,7 @@
         curl_multi_remove_handle(Multi, entry.second->Easy);
         curl_easy_cleanup(entry.second->Easy);
     }
-    for (CURL* easy : Spare)
+    for (CURL* easy : IdleHandles)
     {
         curl_easy_cleanup(easy);
     }
@@ -433,12 +433,12 @@
 
 static CURL* TakeHandle(Client* client)
 {
-    if (client->Spare.empty())
+    if (client->IdleHandles.empty())
     {
         return curl_easy_init();
     }
-    CURL* easy = client->Spare.back();
-    client->Spare.pop_back();
+    CURL* easy = client->IdleHandles.back();
+    client->IdleHandles.pop_back();
     return easy;
 }
 
--- a/gateway/client.h
+++ b/gateway/client.h
@@ -29,11 +29,11 @@
     std::function<bool()> MaySend;  // Called right before the request is sent; false withholds it. May be empty.
 
     // Returns false if these headers belong to the answer of another request. May be empty.
-    std::function<bool(const std::vector<Header>&)> Fits;
+    std::function<bool(const std::vector<Header>&)> AcceptsHeaders;
 
-    // Called with status and headers once all headers have arrived and Fits() accepted them, even if the answer fails later. It must not
-    // send or cancel requests. May be empty.
-    std::function<void(int, const std::vector<Header>&)> OnHead;
+    // Called with status and headers once all headers have arrived and AcceptsHeaders() accepted them, even if the answer fails later. It
+    // must not send or cancel requests. May be empty.
+    std::function<void(int, const std::vector<Header>&)> OnHeaders;
 };
 
 enum ClientEnd_ : int
@@ -70,7 +70,7 @@
     Timer Timeout;                                         // Next timeout requested by libcurl.
     std::map<curl_socket_t, Watch> Sockets;                // Sockets watched for libcurl.
     std::map<uint64_t, std::unique_ptr<ClientCall>> Calls; // In flight, by id.
-    std::vector<CURL*> Spare;                              // Easy handles for reuse.
+    std::vector<CURL*> IdleHandles;                        // Easy handles for reuse.
     std::map<std::string, TimeUs> Silent;                  // By address: when a request last timed out on a reused connection.
     uint64_t LastId = 0;                                   // Id of the latest call.
     uint64_t ConnectionsOpened = 0;                        // Counter.
--- a/gateway/forward.h
+++ b/gateway/forward.h
@@ -93,7 +93,7 @@
     std::function<void()> OnLimit;                // Called after each change of TargetLimits; may be empty.
     Quarantine Held;                              // Requests that crash targets.
     SilentEnds Silent;                            // Attempts that ended without an answer: a crash of their target may be detected later.
-    std::function<void()> OnTargetEnd;            // Called after each change of Held that this instance itself made; may be empty.
+    std::function<void()> OnTargetEnd;            // Called when this instance itself has changed the quarantine; may be empty.
     std::map<std::string, ServiceState> Services; // By name. Never erased: requests keep pointers to them.
     RowMetrics Unrouted;                          // Metrics of requests that were assigned to no service.
     std::map<int, LatencyStats> ByPriority;       // Latency of answers, by the priority of the customer or the route.
