--- a/gateway/attempt.cpp
+++ b/gateway/attempt.cpp
@@ -40,9 +40,9 @@
     constexpr int wrong_target = 421; // Misdirected Request: the address now belongs to another target.
     constexpr int min_error = 400;    // A response with a success status was run, whatever its headers say.
     const WireNames& names = forwarder.Names;
-    const std::string* said = FindHeader(answer.Headers, names.NotExecuted);
-    const bool says = said != nullptr && (names.NotExecutedValue.empty() || *said == names.NotExecutedValue);
-    return answer.End == ClientEnd_Answered && (answer.Status == wrong_target || (says && answer.Status >= min_error));
+    const std::string* value = FindHeader(answer.Headers, names.NotExecuted);
+    const bool declared = value != nullptr && (names.NotExecutedValue.empty() || *value == names.NotExecutedValue);
+    return answer.End == ClientEnd_Answered && (answer.Status == wrong_target || (declared && answer.Status >= min_error));
 }
 
 // An answer counts only if it has the signature header that only targets set, and if its body is not compressed.
--- a/gateway/choose.cpp
+++ b/gateway/choose.cpp
@@ -33,10 +33,10 @@
         return;
     }
     const WireNames& names = forwarder->Names;
-    const std::string* told = FindHeader(answer.Headers, names.TargetId);
-    if (answer.End == ClientEnd_Answered && told != nullptr && *told != id)
+    const std::string* answering_id = FindHeader(answer.Headers, names.TargetId);
+    if (answer.End == ClientEnd_Answered && answering_id != nullptr && *answering_id != id)
     {
-        Log(LogLevel_Info, Code_None, "target replaced", {{"target", id}, {"address", target->Address}, {"now", *told}});
+        Log(LogLevel_Info, Code_None, "target replaced", {{"target", id}, {"address", target->Address}, {"now", *answering_id}});
         DirectoryLeaves(&forwarder->Directory, id);
         ForwarderFollow(forwarder);
         return;
@@ -49,7 +49,7 @@
     {
         AskTimeLate(&service->Asks);
     }
-    if (answer.End != ClientEnd_Answered || answer.Status != 200 || (told == nullptr && !names.TargetId.empty()))
+    if (answer.End != ClientEnd_Answered || answer.Status != 200 || (answering_id == nullptr && !names.TargetId.empty()))
     {
         PoolFailed(service->Pool.Config, target, NowUs());
         return;
@@ -173,8 +173,8 @@
     for (const std::string& id : call->Probed)
     {
         PoolTarget* target = PoolFind(&pool, id);
-        const bool told = target != nullptr && target->ReportUs > 0 && now < target->ReportUs + pool.Config.ReportUs;
-        const bool usable = told && HasCapacity(call, *target, now);
+        const bool has_report = target != nullptr && target->ReportUs > 0 && now < target->ReportUs + pool.Config.ReportUs;
+        const bool usable = has_report && HasCapacity(call, *target, now);
         if (usable && (best == nullptr || PoolCost(pool, *target, now) < PoolCost(pool, *best, now)))
         {
             best = target;
@@ -240,8 +240,8 @@
         return;
     }
     PoolTarget* target = PoolFind(&call->Service->Pool, id);
-    const bool told = target != nullptr && answered && target->ReportUs > 0;
-    if (told && IsGood(call.get(), *target, NowUs()))
+    const bool has_report = target != nullptr && answered && target->ReportUs > 0;
+    if (has_report && IsGood(call.get(), *target, NowUs()))
     {
         SendTo(call, target);
         return;
@@ -278,8 +278,8 @@
     };
     request.OnHeaders = [forwarder, service, source = SignalSource{id, target.Life, true}](int status, const std::vector<Header>& headers)
     {
-        const std::string* told = FindHeader(headers, forwarder->Names.TargetId);
-        if (told == nullptr || *told == source.Target) // Another target may have taken over the address.
+        const std::string* answering_id = FindHeader(headers, forwarder->Names.TargetId);
+        if (answering_id == nullptr || *answering_id == source.Target) // Another target may have taken over the address.
         {
             HearTarget(forwarder, service, source, status, headers);
         }
@@ -411,7 +411,7 @@
 void ServeWaiting(ServiceState* service, const std::string& target_id)
 {
     CallPtr first;
-    std::vector<std::weak_ptr<Call>> still;
+    std::vector<std::weak_ptr<Call>> still_waiting;
     for (const std::weak_ptr<Call>& entry : service->Waiting)
     {
         const CallPtr waiting = entry.lock();
@@ -419,11 +419,11 @@
         {
             continue; // It is probing again, or has ended.
         }
-        still.push_back(entry);
-        const bool had_it = std::find(waiting->Tried.begin(), waiting->Tried.end(), target_id) != waiting->Tried.end();
-        first = had_it ? first : !first || PriorityOf(*waiting) < PriorityOf(*first) ? waiting : first;
+        still_waiting.push_back(entry);
+        const bool already_tried = std::find(waiting->Tried.begin(), waiting->Tried.end(), target_id) != waiting->Tried.end();
+        first = already_tried ? first : !first || PriorityOf(*waiting) < PriorityOf(*first) ? waiting : first;
     }
-    service->Waiting = std::move(still);
+    service->Waiting = std::move(still_waiting);
     PoolTarget* target = PoolFind(&service->Pool, target_id);
     const bool told = target != nullptr && target->ReportUs > 0;
     if (first && told && IsGood(first.get(), *target, NowUs()))
--- a/gateway/held.cpp
+++ b/gateway/held.cpp
@@ -80,8 +80,8 @@
         return true; // Nothing listens there, or a proxy in front of the target cannot reach it.
     case ClientEnd_Answered:
     {
-        const std::string* told = FindHeader(answer.Headers, forwarder.Names.TargetId);
-        return told != nullptr && *told != id; // Another target has taken over the address.
+        const std::string* answering_id = FindHeader(answer.Headers, forwarder.Names.TargetId);
+        return answering_id != nullptr && *answering_id != id; // Another target has taken over the address.
     }
     default:
         return false; // It is alive, or its state is unknown: it may be unreachable or hang.
