--- a/gateway/attempt.cpp
+++ b/gateway/attempt.cpp
@@ -1,13 +1,14 @@
-// attempt.cpp: sending a request to a target, and what its answer means.
+// attempt.cpp: sends a request to a target, interprets its answer, and decides on retries and hedging.
 //
-// A request that may not be repeated is sent again only after a target has said that it did not run it, or when it never left. One that
-// may be repeated gets a second attempt beside the first when that takes much longer than expected; the faster one is passed on.
+// A request that may not be run twice is retried only if it was never sent, or if the target declared that it did not run it. One that may
+// be run more than once is hedged: when the first attempt takes much longer than expected, it is sent to a second target as well, and the
+// first good answer is relayed.
 //
 // Index of this file:
-// [SECTION] Judging answers
-// [SECTION] Learning from answers
-// [SECTION] What comes next
-// [SECTION] Sending
+// [SECTION] Classifying answers
+// [SECTION] Updating the pool
+// [SECTION] Retrying and answering
+// [SECTION] Sending and hedging
 
 #include "call.h"
 
@@ -23,58 +24,58 @@
 {
 
 //-----------------------------------------------------------------------------
-// [SECTION] Judging answers
+// [SECTION] Classifying answers
 //-----------------------------------------------------------------------------
 
 enum Verdict_ : int
 {
-    Verdict_Pass,   // Pass the answer on.
-    Verdict_NotRun, // The target did not get the request, or did not run it.
-    Verdict_Lost,   // It may have been run, and there is no answer.
+    Verdict_Relay,  // The answer may be relayed to the caller.
+    Verdict_NotRun, // The target did not receive the request, or did not run it.
+    Verdict_Lost,   // The target may have run the request, and there is no usable answer.
     Verdict_COUNT,
 };
 
-static bool SaysNotExecuted(const Forwarder& forwarder, const ClientAnswer& answer)
+static bool IsNotExecuted(const Forwarder& forwarder, const ClientAnswer& answer)
 {
-    constexpr int wrong_target = 421; // Another target at that address than the one that the request was meant for.
-    constexpr int least_error = 400;  // A success was run, whatever else it says.
+    constexpr int wrong_target = 421; // Misdirected Request: the address now belongs to another target.
+    constexpr int min_error = 400;    // A response with a success status was run, whatever its headers say.
     const WireNames& names = forwarder.Names;
-    const std::string* said = FindHeader(answer.Headers, names.NotExecuted);
-    const bool says = said != nullptr && (names.NotExecutedValue.empty() || *said == names.NotExecutedValue);
-    return answer.End == ClientEnd_Answered && (answer.Status == wrong_target || (says && answer.Status >= least_error));
+    const std::string* value = FindHeader(answer.Headers, names.NotExecuted);
+    const bool declared = value != nullptr && (names.NotExecutedValue.empty() || *value == names.NotExecutedValue);
+    return answer.End == ClientEnd_Answered && (answer.Status == wrong_target || (declared && answer.Status >= min_error));
 }
 
-// A success that does not carry what only a target can give is no success, and neither is a body in another encoding.
+// An answer counts only if it has the signature header that only targets set, and if its body is not compressed.
 static bool IsGenuine(const Forwarder& forwarder, const ClientAnswer& answer)
 {
     const bool signature = forwarder.Names.Signature.empty() || FindHeader(answer.Headers, forwarder.Names.Signature) != nullptr;
     return signature && FindHeader(answer.Headers, "Content-Encoding") == nullptr;
 }
 
-// The caller would read these as "not run", and the target did not say so.
-static bool IsFalsePromise(int status)
+// Statuses that a caller would read as "not run", although the target did not declare that.
+static bool ImpliesNotRun(int status)
 {
     return status == 408 || status == 429 || status == 503;
 }
 
-static Verdict_ Judge(const Forwarder& forwarder, const ClientAnswer& answer)
+static Verdict_ ClassifyAnswer(const Forwarder& forwarder, const ClientAnswer& answer)
 {
-    if (answer.End == ClientEnd_NotConnected || answer.End == ClientEnd_HeldBack || SaysNotExecuted(forwarder, answer))
+    if (answer.End == ClientEnd_NotConnected || answer.End == ClientEnd_Withheld || IsNotExecuted(forwarder, answer))
     {
         return Verdict_NotRun;
     }
-    const bool good = answer.End == ClientEnd_Answered && IsGenuine(forwarder, answer) && !IsFalsePromise(answer.Status);
-    return good ? Verdict_Pass : Verdict_Lost;
+    const bool good = answer.End == ClientEnd_Answered && IsGenuine(forwarder, answer) && !ImpliesNotRun(answer.Status);
+    return good ? Verdict_Relay : Verdict_Lost;
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Learning from answers
+// [SECTION] Updating the pool
 //-----------------------------------------------------------------------------
 
-// What a request of the route takes at a target of cost 1, and how much slower nearly full targets are.
-static void LearnWork(Call* call, const Attempt& attempt, TimeUs took)
+// Updates the mean duration of the route's requests at a target of cost 1, and how much slower nearly full targets are.
+static void LearnWorkTime(Call* call, const Attempt& attempt, TimeUs took)
 {
-    constexpr double gain = 0.05; // Of the latest answer; work varies by a third and more.
+    constexpr double gain = 0.05; // Weight of the latest answer in the moving average.
     double& mean = call->Work->MeanUs;
     const double usual = static_cast<double>(took) * 100.0 / attempt.Report.PacePercent;
     if (!attempt.NearlyFull)
@@ -93,13 +94,13 @@
     return load != nullptr ? ParseLoadReport(*load) : std::nullopt;
 }
 
-// The attempt's target; null if it has left the pool.
+// The attempt's target; null if it has left the pool or restarted.
 static PoolTarget* FindTargetOf(const Call& call, const Attempt& attempt)
 {
     return PoolFindEntry(&call.Service->Pool, attempt.Target, attempt.Entry);
 }
 
-void BlameTargets(const Call& call)
+void PenalizeTargets(const Call& call)
 {
     for (const Attempt& attempt : call.Active)
     {
@@ -111,15 +112,15 @@
     }
 }
 
-// The target has one request of ours less.
-static void Release(PoolTarget* target, const Attempt& attempt)
+// One request of this instance at the target has ended.
+static void ReleaseSlot(PoolTarget* target, const Attempt& attempt)
 {
     const bool unreported = target->ReportUs < attempt.SentUs && target->Since > 0;
     target->InFlight--;
     target->Since -= unreported ? 1 : 0;
 }
 
-static void Learn(const CallPtr& call, const Attempt& attempt, const ClientAnswer& answer, Verdict_ verdict)
+static void LearnFromAnswer(const CallPtr& call, const Attempt& attempt, const ClientAnswer& answer, Verdict_ verdict)
 {
     Forwarder* forwarder = call->Owner;
     if (FindTargetOf(*call, attempt) != nullptr && answer.End == ClientEnd_Answered && answer.Status == 421)
@@ -132,29 +133,29 @@
     {
         return;
     }
-    Release(target, attempt);
+    ReleaseSlot(target, attempt);
     const std::optional<LoadReport> report = ReadLoad(*forwarder, answer.Headers);
     if (report)
     {
         call->Service->Pool.TellsLoad = true;
         PoolReport(target, *report, NowUs());
     }
-    if (verdict == Verdict_Pass && answer.Status < 500)
+    if (verdict == Verdict_Relay && answer.Status < 500)
     {
-        LearnWork(call.get(), attempt, answer.TookUs);
+        LearnWorkTime(call.get(), attempt, answer.TookUs);
         PoolGood(target);
     }
-    else if (answer.End != ClientEnd_HeldBack)
+    else if (answer.End != ClientEnd_Withheld)
     {
         PoolFailed(call->Service->Pool.Config, target, NowUs());
     }
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] What comes next
+// [SECTION] Retrying and answering
 //-----------------------------------------------------------------------------
 
-void PassOn(const CallPtr& call, ClientAnswer answer)
+void RelayAnswer(const CallPtr& call, ClientAnswer answer)
 {
     CancelAttempts(call);
     CallerReply reply;
@@ -170,19 +171,19 @@
     EndCall(call, Code_None, "", std::move(reply));
 }
 
-static bool LeftUsAtAll(const ClientAnswer& answer)
+static bool WasSent(const ClientAnswer& answer)
 {
-    return answer.End != ClientEnd_NotConnected && answer.End != ClientEnd_HeldBack;
+    return answer.End != ClientEnd_NotConnected && answer.End != ClientEnd_Withheld;
 }
 
-// Takes one repeat out of `part` of the budget; a refusal is what later explains a failure.
-static bool TakeRepeat(const CallPtr& call, double part)
+// Takes one retry from the given share of the budget. A refusal is logged, as it explains a later failure.
+static bool TakeRetry(const CallPtr& call, double part)
 {
     const TimeUs now = NowUs();
     const bool taken = RepeatBudgetTake(&call->Service->Repeats, part, now);
     if (taken)
     {
-        call->RepeatTakenUs = now;
+        call->RetryTakenUs = now;
     }
     else
     {
@@ -196,25 +197,25 @@
     return taken;
 }
 
-// Another target may get the request, if the budget allows it. What never left costs nothing.
-static bool MayTryAgain(const CallPtr& call, const ClientAnswer& answer)
+// Whether the request may be sent to another target. Takes a retry from the budget, unless the request was never sent.
+static bool CanRetry(const CallPtr& call, const ClientAnswer& answer)
 {
-    constexpr size_t tries_most = 8; // Connections that fail at once must not be tried for ever.
+    constexpr size_t max_targets = 8; // Limits retries after failed connections, which do not count as attempts.
     const TimeUs now = NowUs();
-    if (LeftUs(*call, now) <= 0 || IsHeld(call.get()) || !KeyHolds(*call))
+    if (LeftUs(*call, now) <= 0 || IsQuarantined(call.get()) || !IsKeyValid(*call))
     {
         return false;
     }
-    if (!LeftUsAtAll(answer))
+    if (!WasSent(answer))
     {
-        return call->Tried.size() < tries_most;
+        return call->Tried.size() < max_targets;
     }
-    const bool allowed = call->Repeatable || call->MayHaveRun == 0;
-    return allowed && call->Attempts < call->Row->AttemptsMost && TakeRepeat(call, 1.0);
+    const bool allowed = call->Retryable || call->MayHaveRun == 0;
+    return allowed && call->Attempts < call->MatchedRoute->AttemptsMost && TakeRetry(call, 1.0);
 }
 
-// A target that refuses though it has free slots is ill, not busy.
-static bool RefusedWithRoom(const Call& call, const ClientAnswer& answer)
+// A target that refuses a request although it reports free slots is unhealthy, not busy.
+static bool RefusedWithCapacity(const Call& call, const ClientAnswer& answer)
 {
     const std::optional<LoadReport> load = ReadLoad(*call.Owner, answer.Headers);
     return load && load->Running + load->Waiting < load->Slots;
@@ -222,19 +223,19 @@
 
 static void EndUnanswered(const CallPtr& call, const ClientAnswer& answer)
 {
-    if (call->MayHaveRun == 0 && IsHeld(call.get()))
+    if (call->MayHaveRun == 0 && IsQuarantined(call.get()))
     {
-        EndCallHeld(call);
+        EndCallQuarantined(call);
         return;
     }
-    if (call->MayHaveRun == 0 && !KeyHolds(*call))
+    if (call->MayHaveRun == 0 && !IsKeyValid(*call))
     {
-        EndCallWith(call, Code_KeyUnknown, "its key was taken away");
+        EndCallWith(call, Code_KeyUnknown, "API key revoked");
         return;
     }
-    if (call->MayHaveRun == 0 && RefusedWithRoom(*call, answer))
+    if (call->MayHaveRun == 0 && RefusedWithCapacity(*call, answer))
     {
-        EndCallWith(call, Code_TargetRefused, answer.Detail, call->Owner->Config.IllRetryUs);
+        EndCallWith(call, Code_TargetRefused, answer.Detail, call->Owner->Config.UnhealthyRetryUs);
         return;
     }
     if (call->MayHaveRun == 0)
@@ -245,61 +246,61 @@
     EndCallWith(call, answer.End == ClientEnd_TimedOut ? Code_DeadlinePassed : Code_OutcomeUnknown, answer.Detail);
 }
 
-static void GoOn(const CallPtr& call, Verdict_ verdict, ClientAnswer answer)
+static void ContinueCall(const CallPtr& call, Verdict_ verdict, ClientAnswer answer)
 {
-    const bool failed = verdict == Verdict_Pass && answer.Status >= 500;
-    const bool done = verdict == Verdict_Pass && !(failed && call->Repeatable);
+    const bool failed = verdict == Verdict_Relay && answer.Status >= 500;
+    const bool done = verdict == Verdict_Relay && !(failed && call->Retryable);
     if (done)
     {
-        PassOn(call, std::move(answer));
+        RelayAnswer(call, std::move(answer));
         return;
     }
     if (!call->Active.empty())
     {
-        return; // The other attempt goes on.
+        return; // The other attempt is still in flight.
     }
     if (call->Choosing != Choosing_None)
     {
-        call->Choosing = Choosing_First; // The second attempt that is being prepared is the only one now.
+        call->Choosing = Choosing_First; // No attempt is left beside the hedge being prepared: it becomes a retry.
         return;
     }
-    if (MayTryAgain(call, answer))
+    if (CanRetry(call, answer))
     {
-        if (verdict == Verdict_Pass)
+        if (verdict == Verdict_Relay)
         {
-            call->Kept = std::move(answer);
+            call->FailedAnswer = std::move(answer);
         }
         ChooseTarget(call, Choosing_First);
         return;
     }
-    if (verdict == Verdict_Pass || call->Kept)
+    if (verdict == Verdict_Relay || call->FailedAnswer)
     {
-        PassOn(call, verdict == Verdict_Pass ? std::move(answer) : std::move(*call->Kept));
+        RelayAnswer(call, verdict == Verdict_Relay ? std::move(answer) : std::move(*call->FailedAnswer));
         return;
     }
     EndUnanswered(call, answer);
 }
 
-// Takes an attempt out of those in progress.
+// Removes the attempt at the target from those in flight.
 static Attempt TakeAttempt(Call* call, const std::string& target)
 {
     const auto found =
         std::find_if(call->Active.begin(), call->Active.end(), [&](const Attempt& attempt) { return attempt.Target == target; });
-    assert(found != call->Active.end() && "an attempt ends once");
+    assert(found != call->Active.end() && "the attempt is not in flight");
     Attempt attempt = *found;
     call->Active.erase(found);
     return attempt;
 }
 
-// The answer to the caller names only the last attempt, and its id only this try of the caller: this line ties both to what was lost
-// before.
+// Logs a lost attempt with both the request id and the key that is the same at all tries of the caller: the final log line of the call
+// names only its last attempt.
 static void LogLost(Call* call, const ClientAnswer& answer)
 {
     Log(LogLevel_Info, Code_OutcomeUnknown, "attempt lost",
         {{"requestId", call->Id},
          {"request", CallKey(call)},
          {"service", call->ServiceName},
-         {"target", call->Last.Target},
+         {"target", call->LastAttempt.Target},
          {"attempt", call->Attempts},
          {"tookUs", answer.TookUs},
          {"status", answer.Status},
@@ -308,47 +309,47 @@
 
 static void OnAnswer(const CallPtr& call, const std::string& target, ClientAnswer answer)
 {
-    call->Last = TakeAttempt(call.get(), target);
-    const Verdict_ verdict = Judge(*call->Owner, answer);
+    call->LastAttempt = TakeAttempt(call.get(), target);
+    const Verdict_ verdict = ClassifyAnswer(*call->Owner, answer);
     if (verdict == Verdict_Lost)
     {
         LogLost(call.get(), answer);
     }
     if (answer.End == ClientEnd_Lost || answer.End == ClientEnd_Broken)
     {
-        LookWhetherEnded(call.get(), call->Last);
+        CheckForCrash(call.get(), call->LastAttempt);
     }
     else if (answer.End == ClientEnd_TimedOut)
     {
-        NoteSilent(call.get(), call->Last);
+        RecordUnanswered(call.get(), call->LastAttempt);
     }
-    if (!LeftUsAtAll(answer))
+    if (!WasSent(answer))
     {
         call->Attempts--;
-        QuotaReturn(&call->Owner->TargetLimits, call->Last.Grant.LifeId, call->Last.Grant.TakenUs);
+        QuotaReturn(&call->Owner->TargetLimits, call->LastAttempt.Grant.LifeId, call->LastAttempt.Grant.TakenUs);
     }
     call->MayHaveRun += verdict == Verdict_NotRun ? 0 : 1;
-    if (verdict == Verdict_Pass && answer.Status < 500)
+    if (verdict == Verdict_Relay && answer.Status < 500)
     {
         NoteAnswered(call.get());
     }
-    Learn(call, call->Last, answer, verdict);
+    LearnFromAnswer(call, call->LastAttempt, answer, verdict);
     if (!call->Ended)
     {
-        GoOn(call, verdict, std::move(answer));
+        ContinueCall(call, verdict, std::move(answer));
     }
     ServeWaiting(call->Service, target);
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Sending
+// [SECTION] Sending and hedging
 //-----------------------------------------------------------------------------
 
 static std::vector<Header> HeadersForTarget(const Call& call, const std::string& target, TimeUs now)
 {
     const WireNames& names = call.Owner->Names;
     std::vector<Header> headers;
-    for (const Header& header : call.From->Headers)
+    for (const Header& header : call.Inbound->Headers)
     {
         const bool ours =
             SameHeader(header.Name, names.Deadline) || SameHeader(header.Name, names.ExpectedTarget) || SameHeader(header.Name, "Expect");
@@ -374,81 +375,82 @@
 {
     ClientRequest request;
     request.Address = target.Address;
-    request.Method = call->From->Method;
-    request.Target = call->From->Target;
+    request.Method = call->Inbound->Method;
+    request.Target = call->Inbound->Target;
     request.Headers = HeadersForTarget(*call, target.Id, now);
-    request.HasBody = !call->From->Body.empty() || call->From->Method == "POST" || call->From->Method == "PUT";
-    request.Body = call->From->Body;
-    request.TimeoutUs = LeftUs(*call, now) + UsPerSecond; // The call's own deadline comes first.
+    request.HasBody = !call->Inbound->Body.empty() || call->Inbound->Method == "POST" || call->Inbound->Method == "PUT";
+    request.Body = call->Inbound->Body;
+    request.TimeoutUs = LeftUs(*call, now) + UsPerSecond; // DeadlineTimer fires first.
     request.ConnectUs = call->Owner->Config.ConnectUs;
-    // Right before the request leaves: news since the choice may stop it.
+    // Checked again right before sending: the target or the request may have become unusable since the choice.
     request.MaySend = [call, id = target.Id, entry = target.Entry]()
     {
         const PoolTarget* found = PoolFindEntry(&call->Service->Pool, id, entry);
         const bool usable = found != nullptr && PoolMayUse(*found, NowUs());
-        return !call->Ended && LeftUs(*call, NowUs()) > 0 && usable && !IsHeld(call.get()) && KeyHolds(*call);
+        return !call->Ended && LeftUs(*call, NowUs()) > 0 && usable && !IsQuarantined(call.get()) && IsKeyValid(*call);
     };
-    request.Fits = [call](const std::vector<Header>& headers)
+    request.AcceptsHeaders = [call](const std::vector<Header>& headers)
     {
         const std::string* id = FindHeader(headers, call->Owner->Names.RequestId);
         return id != nullptr ? *id == call->Id : !call->Owner->Names.AnswersNameRequest;
     };
-    request.OnHead = [call, source = SignalSource{target.Id, target.Life, false}](int status, const std::vector<Header>& headers)
+    request.OnHeaders = [call, source = SignalSource{target.Id, target.Life, false}](int status, const std::vector<Header>& headers)
     {
         HearTarget(call->Owner, call->Service, source, status, headers);
     };
     return request;
 }
 
-// The first attempt takes much longer than expected: its target is avoided for a while, and the request goes to a second one as well.
-static void OnSlow(const CallPtr& call)
+// The first attempt takes much longer than expected: counts a failure against its target, and hedges the request if it may be run more than
+// once.
+static void OnSlowAttempt(const CallPtr& call)
 {
-    call->Slow = nullptr;
+    call->HedgeTimer = nullptr;
     if (call->Active.size() != 1 || call->Choosing != Choosing_None)
     {
         return;
     }
     const TimeUs now = NowUs();
-    BlameTargets(*call);
+    PenalizeTargets(*call);
     const bool time_left = static_cast<double>(LeftUs(*call, now)) > call->Work->MeanUs;
-    if (!call->Repeatable || call->Attempts >= call->Row->AttemptsMost || !time_left || !KeyHolds(*call))
+    if (!call->Retryable || call->Attempts >= call->MatchedRoute->AttemptsMost || !time_left || !IsKeyValid(*call))
     {
         return;
     }
-    if (TakeRepeat(call, call->Owner->Config.SecondShare))
+    if (TakeRetry(call, call->Owner->Config.HedgeShare))
     {
-        ChooseTarget(call, Choosing_Second);
+        ChooseTarget(call, Choosing_Hedge);
     }
 }
 
-// Looks again when the attempt has taken much longer than expected.
-static void WatchForSlowness(const CallPtr& call, const Attempt& attempt)
+// Starts the timer that detects a slow attempt.
+static void StartHedgeTimer(const CallPtr& call, const Attempt& attempt)
 {
     const auto patience = static_cast<TimeUs>(call->Owner->Config.SlowFactor * attempt.ExpectedUs);
     if (patience > 0)
     {
         const TimeUs left = attempt.SentUs + patience - NowUs();
-        call->Slow = TimerStart(call->Owner->Loop, left, [call]() { OnSlow(call); });
+        call->HedgeTimer = TimerStart(call->Owner->Loop, left, [call]() { OnSlowAttempt(call); });
     }
 }
 
-void GiveRepeatBack(Call* call)
+void ReturnRetry(Call* call)
 {
-    if (call->RepeatTakenUs > 0)
+    if (call->RetryTakenUs > 0)
     {
-        RepeatBudgetReturn(&call->Service->Repeats, call->RepeatTakenUs);
-        call->RepeatTakenUs = 0;
+        RepeatBudgetReturn(&call->Service->Repeats, call->RetryTakenUs);
+        call->RetryTakenUs = 0;
     }
 }
 
-void SecondAgain(const CallPtr& call)
+void RetryHedgeLater(const CallPtr& call)
 {
-    GiveRepeatBack(call.get());
-    GiveGrantsBack(call.get());
-    call->Slow = TimerStart(call->Owner->Loop, call->Owner->Config.SecondAgainUs, [call]() { OnSlow(call); });
+    ReturnRetry(call.get());
+    ReturnGrants(call.get());
+    call->HedgeTimer = TimerStart(call->Owner->Loop, call->Owner->Config.HedgeRetryUs, [call]() { OnSlowAttempt(call); });
 }
 
-void GiveGrantsBack(Call* call)
+void ReturnGrants(Call* call)
 {
     for (const LimitGrant& grant : call->Grants)
     {
@@ -457,7 +459,7 @@
     call->Grants.clear();
 }
 
-// The grant for the target; the others are given back.
+// Takes the grant for the target and returns the others.
 static LimitGrant TakeGrant(Call* call, const PoolTarget& target)
 {
     LimitGrant taken;
@@ -471,7 +473,7 @@
         taken = *found;
         call->Grants.erase(found);
     }
-    GiveGrantsBack(call);
+    ReturnGrants(call);
     return taken;
 }
 
@@ -493,13 +495,14 @@
 
 void SendTo(const CallPtr& call, PoolTarget* target)
 {
-    assert((call->Repeatable || (call->MayHaveRun == 0 && call->Active.empty())) && "it may not be repeated, and may have been run");
+    assert((call->Retryable || (call->MayHaveRun == 0 && call->Active.empty())) &&
+           "a request that must not run twice may have been run already");
     const TimeUs now = NowUs();
     Attempt attempt = MakeAttempt(*call, *target, now);
     call->Choosing = Choosing_None;
     call->Tried.push_back(target->Id);
     call->Attempts++;
-    call->RepeatTakenUs = 0;
+    call->RetryTakenUs = 0;
     attempt.Grant = TakeGrant(call.get(), *target);
     PoolSent(&call->Service->Pool, target);
     const std::string id = target->Id;
@@ -508,7 +511,7 @@
     call->Active.push_back(attempt);
     if (call->Active.size() == 1)
     {
-        WatchForSlowness(call, attempt);
+        StartHedgeTimer(call, attempt);
     }
 }
 
@@ -520,11 +523,11 @@
     for (const Attempt& attempt : active)
     {
         ClientCancel(call->Owner->Targets, attempt.Id);
-        call->Last = attempt;
+        call->LastAttempt = attempt;
         PoolTarget* target = FindTargetOf(*call, attempt);
         if (target != nullptr)
         {
-            Release(target, attempt);
+            ReleaseSlot(target, attempt);
         }
     }
 }
--- a/gateway/choose.cpp
+++ b/gateway/choose.cpp
@@ -1,10 +1,10 @@
-// choose.cpp: choosing a target for a request: asking targets for their load, and waiting a moment when all are busy.
+// choose.cpp: chooses a target for a request: probes targets for their load, and waits briefly when all are busy.
 //
 // Index of this file:
-// [SECTION] Learning from answers
-// [SECTION] Deciding
-// [SECTION] Asking
-// [SECTION] Waiting
+// [SECTION] Handling probe answers
+// [SECTION] Selecting a target
+// [SECTION] Probing
+// [SECTION] Waiting requests
 
 #include "call.h"
 
@@ -17,14 +17,15 @@
 namespace Winchlink
 {
 
-static void AskMore(const CallPtr& call);
+static void ProbeMore(const CallPtr& call);
 
 //-----------------------------------------------------------------------------
-// [SECTION] Learning from answers
+// [SECTION] Handling probe answers
 //-----------------------------------------------------------------------------
 
-// `entry`: of the target when it was asked. One that has come back since, or started again, was not asked.
-static void LearnFromAsk(Forwarder* forwarder, ServiceState* service, const std::string& id, uint64_t entry, const ClientAnswer& answer)
+// Updates the pool from a probe's answer. `entry` is the target's pool entry when it was probed; the answer of a target that has left the
+// pool or restarted since is ignored.
+static void LearnFromProbe(Forwarder* forwarder, ServiceState* service, const std::string& id, uint64_t entry, const ClientAnswer& answer)
 {
     PoolTarget* target = PoolFindEntry(&service->Pool, id, entry);
     if (target == nullptr)
@@ -32,10 +33,10 @@
         return;
     }
     const WireNames& names = forwarder->Names;
-    const std::string* told = FindHeader(answer.Headers, names.TargetId);
-    if (answer.End == ClientEnd_Answered && told != nullptr && *told != id)
+    const std::string* answering_id = FindHeader(answer.Headers, names.TargetId);
+    if (answer.End == ClientEnd_Answered && answering_id != nullptr && *answering_id != id)
     {
-        Log(LogLevel_Info, Code_None, "target replaced", {{"target", id}, {"address", target->Address}, {"now", *told}});
+        Log(LogLevel_Info, Code_None, "target replaced", {{"target", id}, {"address", target->Address}, {"now", *answering_id}});
         DirectoryLeaves(&forwarder->Directory, id);
         ForwarderFollow(forwarder);
         return;
@@ -48,7 +49,7 @@
     {
         AskTimeLate(&service->Asks);
     }
-    if (answer.End != ClientEnd_Answered || answer.Status != 200 || (told == nullptr && !names.TargetId.empty()))
+    if (answer.End != ClientEnd_Answered || answer.Status != 200 || (answering_id == nullptr && !names.TargetId.empty()))
     {
         PoolFailed(service->Pool.Config, target, NowUs());
         return;
@@ -63,10 +64,10 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Deciding
+// [SECTION] Selecting a target
 //-----------------------------------------------------------------------------
 
-// Whether the target may have one more connection of ours.
+// Whether this instance may open one more connection to the target.
 static bool MayConnect(const Call& call, const PoolTarget& target)
 {
     const int most = call.Spec->ConnectionsMost;
@@ -78,7 +79,8 @@
     return std::find(ids.begin(), ids.end(), id) != ids.end();
 }
 
-// Counts the request against the limit that the target has named, once in a round of choosing. True if it may be sent there.
+// Counts the request against the target's rate limit, if it has set one; once in a round of choosing. Returns false if the limit is
+// reached.
 static bool TakeLimit(Call* call, const PoolTarget& target, TimeUs now)
 {
     const auto holds = [&target](const LimitGrant& grant)
@@ -104,7 +106,7 @@
     return false;
 }
 
-static bool HasRoom(Call* call, const PoolTarget& target, TimeUs now)
+static bool HasCapacity(Call* call, const PoolTarget& target, TimeUs now)
 {
     const TargetPool& pool = call->Service->Pool;
     const bool room =
@@ -112,41 +114,41 @@
     return room && TakeLimit(call, target, now);
 }
 
-// Whether a target is good enough to be taken without asking others.
+// Whether a target is good enough to be chosen without probing others.
 static bool IsGood(Call* call, const PoolTarget& target, TimeUs now)
 {
     const TargetPool& pool = call->Service->Pool;
-    return PoolCost(pool, target, now) <= pool.Config.GoodCost && HasRoom(call, target, now);
+    return PoolCost(pool, target, now) <= pool.Config.GoodCost && HasCapacity(call, target, now);
 }
 
-// Whether the request is expected to be answered in time by a target of that cost: within its aim, as it can be refused before it has been
-// sent and may then be served elsewhere; after that, by its deadline.
-static bool InTime(const Call& call, double cost, TimeUs now)
+// Whether a target of that cost is expected to answer in time. Before the first attempt that is the route's latency objective, as a refused
+// request may still be served elsewhere in time; after it, the deadline.
+static bool MeetsDeadline(const Call& call, double cost, TimeUs now)
 {
     const bool sent = call.MayHaveRun > 0 || !call.Active.empty();
-    const TimeUs left = sent ? LeftUs(call, now) : call.From->ArrivedUs + call.Row->AimUs - now;
+    const TimeUs left = sent ? LeftUs(call, now) : call.Inbound->ArrivedUs + call.MatchedRoute->AimUs - now;
     return cost * call.Work->MeanUs < static_cast<double>(left);
 }
 
-// A target passes if it was asked in this round or has had the request already.
-static std::vector<std::string> Passed(const Call& call)
+// Targets that were considered in this round or have been sent the request already.
+static std::vector<std::string> ExcludedTargets(const Call& call)
 {
-    std::vector<std::string> all = call.Asked;
+    std::vector<std::string> all = call.Probed;
     all.insert(all.end(), call.Tried.begin(), call.Tried.end());
     return all;
 }
 
-static void Refuse(const CallPtr& call, Code_ code, const std::string& detail)
+static void RejectOrFallBack(const CallPtr& call, Code_ code, const std::string& detail)
 {
     call->Choosing = Choosing_None;
     if (!call->Active.empty())
     {
-        SecondAgain(call);
+        RetryHedgeLater(call);
         return;
     }
-    if (call->Kept)
+    if (call->FailedAnswer)
     {
-        PassOn(call, std::move(*call->Kept));
+        RelayAnswer(call, std::move(*call->FailedAnswer));
         return;
     }
     if (call->MayHaveRun > 0)
@@ -163,16 +165,16 @@
     EndCallBusy(call, code, detail);
 }
 
-// The cheapest of those asked that have room; null if none has.
-static PoolTarget* BestAsked(Call* call, TimeUs now)
+// The target of lowest cost among those considered in this round that have capacity and a recent report; null if there is none.
+static PoolTarget* BestProbed(Call* call, TimeUs now)
 {
     TargetPool& pool = call->Service->Pool;
     PoolTarget* best = nullptr;
-    for (const std::string& id : call->Asked)
+    for (const std::string& id : call->Probed)
     {
         PoolTarget* target = PoolFind(&pool, id);
-        const bool told = target != nullptr && target->ReportUs > 0 && now < target->ReportUs + pool.Config.ReportUs;
-        const bool usable = told && HasRoom(call, *target, now);
+        const bool has_report = target != nullptr && target->ReportUs > 0 && now < target->ReportUs + pool.Config.ReportUs;
+        const bool usable = has_report && HasCapacity(call, *target, now);
         if (usable && (best == nullptr || PoolCost(pool, *target, now) < PoolCost(pool, *best, now)))
         {
             best = target;
@@ -181,35 +183,35 @@
     return best;
 }
 
-static void AskAgain(const CallPtr& call)
+static void ProbeAgain(const CallPtr& call)
 {
     call->Again = nullptr;
-    if (NowUs() < call->ChooseUntilUs)
+    if (NowUs() < call->ChooseDeadlineUs)
     {
-        call->Asked.clear();
+        call->Probed.clear();
         call->OverLimit.clear();
     }
-    AskMore(call);
+    ProbeMore(call);
 }
 
-// Whether all targets that came into question have asked to be spared: none of them comes free while the request could wait.
-static bool AllSpared(const Call& call, TimeUs now)
+// Whether all candidates are at their rate limits, or all targets have asked for backoff: waiting for a free slot would be useless.
+static bool AllLimited(const Call& call, TimeUs now)
 {
-    const bool all_over_limit = !call.OverLimit.empty() && call.OverLimit.size() == call.Asked.size();
-    return all_over_limit || (call.Asked.empty() && PoolBackoffEnds(call.Service->Pool, now));
+    const bool all_over_limit = !call.OverLimit.empty() && call.OverLimit.size() == call.Probed.size();
+    return all_over_limit || (call.Probed.empty() && PoolBackoffEnds(call.Service->Pool, now));
 }
 
-// All targets that may be asked were asked, and none is good.
+// Called when no more targets may be probed and none is good: settles for the best one, waits and probes again, or gives up.
 static void Decide(const CallPtr& call)
 {
     const ForwardConfig& config = call->Owner->Config;
     const TimeUs now = NowUs();
-    PoolTarget* best = BestAsked(call.get(), now);
+    PoolTarget* best = BestProbed(call.get(), now);
     const double cost = best != nullptr ? PoolCost(call->Service->Pool, *best, now) : 0;
-    const bool in_time = best != nullptr && InTime(*call, cost, now);
+    const bool in_time = best != nullptr && MeetsDeadline(*call, cost, now);
     const bool any = !call->Service->Pool.Targets.empty();
-    const bool spared = AllSpared(*call, now);
-    const bool may_wait = any && !spared && call->Choosing == Choosing_First && now + config.AskAgainUs < call->ChooseUntilUs;
+    const bool limited = AllLimited(*call, now);
+    const bool may_wait = any && !limited && call->Choosing == Choosing_First && now + config.AskAgainUs < call->ChooseDeadlineUs;
     const bool settles = in_time && PoolSettles(call->Service->Pool, *best, now);
     if (settles || (in_time && !may_wait))
     {
@@ -218,48 +220,47 @@
     }
     if (may_wait)
     {
-        call->Again = TimerStart(call->Owner->Loop, config.AskAgainUs, [call]() { AskAgain(call); });
+        call->Again = TimerStart(call->Owner->Loop, config.AskAgainUs, [call]() { ProbeAgain(call); });
         call->Service->Waiting.push_back(call);
         return;
     }
-    const Code_ code = spared ? Code_TargetsLimited : call->AsksMade == 0 ? Code_NoTargetLeft : Code_TargetsBusy;
-    Refuse(call, code, best != nullptr ? "too slow" : "");
+    const Code_ code = limited ? Code_TargetsLimited : call->ProbeCount == 0 ? Code_NoTargetLeft : Code_TargetsBusy;
+    RejectOrFallBack(call, code, best != nullptr ? "too slow" : "");
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Asking
+// [SECTION] Probing
 //-----------------------------------------------------------------------------
 
-static void OnAsked(const CallPtr& call, const std::string& id, bool answered)
+static void OnProbed(const CallPtr& call, const std::string& id, bool answered)
 {
-    call->Asking--;
+    call->ProbesInFlight--;
     if (call->Choosing == Choosing_None || call->Again)
     {
         return;
     }
     PoolTarget* target = PoolFind(&call->Service->Pool, id);
-    const bool told = target != nullptr && answered && target->ReportUs > 0;
-    if (told && IsGood(call.get(), *target, NowUs()))
+    const bool has_report = target != nullptr && answered && target->ReportUs > 0;
+    if (has_report && IsGood(call.get(), *target, NowUs()))
     {
         SendTo(call, target);
         return;
     }
-    AskMore(call);
+    ProbeMore(call);
 }
 
-static void OnAnswerToQuestion(Forwarder* forwarder, ServiceState* service, const std::string& id, uint64_t entry,
-                               const ClientAnswer& answer)
+static void OnProbeAnswer(Forwarder* forwarder, ServiceState* service, const std::string& id, uint64_t entry, const ClientAnswer& answer)
 {
     const std::vector<CallPtr> askers = std::move(service->Questions[id]);
     service->Questions.erase(id);
-    LearnFromAsk(forwarder, service, id, entry, answer);
+    LearnFromProbe(forwarder, service, id, entry, answer);
     for (const CallPtr& asker : askers)
     {
-        OnAsked(asker, id, answer.End == ClientEnd_Answered);
+        OnProbed(asker, id, answer.End == ClientEnd_Answered);
     }
 }
 
-static void SendQuestion(const Call& call, const PoolTarget& target)
+static void SendProbe(const Call& call, const PoolTarget& target)
 {
     Forwarder* forwarder = call.Owner;
     ServiceState* service = call.Service;
@@ -270,60 +271,60 @@
     request.TimeoutUs = AskTimeNow(service->Asks);
     const std::string id = target.Id;
     const std::string id_header = forwarder->Names.TargetId;
-    // An answer to a request that was given up may come instead; it has no such header.
-    request.Fits = [id_header](const std::vector<Header>& headers)
+    // The late answer to a cancelled request may arrive on this connection instead; it lacks this header.
+    request.AcceptsHeaders = [id_header](const std::vector<Header>& headers)
     {
         return id_header.empty() || FindHeader(headers, id_header) != nullptr;
     };
-    request.OnHead = [forwarder, service, source = SignalSource{id, target.Life, true}](int status, const std::vector<Header>& headers)
+    request.OnHeaders = [forwarder, service, source = SignalSource{id, target.Life, true}](int status, const std::vector<Header>& headers)
     {
-        const std::string* told = FindHeader(headers, forwarder->Names.TargetId);
-        if (told == nullptr || *told == source.Target) // Another one may have its address.
+        const std::string* answering_id = FindHeader(headers, forwarder->Names.TargetId);
+        if (answering_id == nullptr || *answering_id == source.Target) // Another target may have taken over the address.
         {
             HearTarget(forwarder, service, source, status, headers);
         }
     };
     ClientSend(forwarder->Targets, std::move(request),
                [forwarder, service, id, entry = target.Entry](const ClientAnswer& answer)
-               { OnAnswerToQuestion(forwarder, service, id, entry, answer); });
+               { OnProbeAnswer(forwarder, service, id, entry, answer); });
 }
 
-// The target may hang: another one is asked as well.
-static void OnImpatient(const CallPtr& call)
+// The probed target may hang: allows one more probe beside it.
+static void OnSlowProbe(const CallPtr& call)
 {
-    call->Patience = nullptr;
+    call->SlowProbeTimer = nullptr;
     if (call->Choosing != Choosing_None && !call->Again)
     {
-        call->AsksAtOnce++;
-        AskMore(call);
+        call->MaxConcurrentProbes++;
+        ProbeMore(call);
     }
 }
 
-// Asks the target for its load, or waits for the answer to the same question of another request.
-static void Ask(const CallPtr& call, const PoolTarget& target)
+// Probes the target, or shares the answer to a probe that another request has in flight.
+static void Probe(const CallPtr& call, const PoolTarget& target)
 {
     std::vector<CallPtr>& askers = call->Service->Questions[target.Id];
-    call->Asking++;
-    call->AsksMade++;
+    call->ProbesInFlight++;
+    call->ProbeCount++;
     askers.push_back(call);
-    call->Patience = TimerStart(call->Owner->Loop, call->Owner->Config.AskPatienceUs, [call]() { OnImpatient(call); });
+    call->SlowProbeTimer = TimerStart(call->Owner->Loop, call->Owner->Config.SlowProbeUs, [call]() { OnSlowProbe(call); });
     if (askers.size() == 1)
     {
-        SendQuestion(*call, target);
+        SendProbe(*call, target);
         return;
     }
     call->Owner->AsksShared++;
 }
 
-// The best of those that are not at their limits; if all are, null.
-static PoolTarget* NextUnasked(Call* call)
+// The best target that is not at its rate limit; null if there is none.
+static PoolTarget* NextUnprobed(Call* call)
 {
     const TimeUs now = NowUs();
     for (;;)
     {
         std::vector<std::string> passed = call->Tried;
         passed.insert(passed.end(), call->OverLimit.begin(), call->OverLimit.end());
-        PoolTarget* target = PoolNextUnasked(&call->Service->Pool, passed, !call->Repeatable, now, call->Owner->Rng);
+        PoolTarget* target = PoolNextUnasked(&call->Service->Pool, passed, !call->Retryable, now, call->Owner->Rng);
         if (target == nullptr || TakeLimit(call, *target, now))
         {
             return target;
@@ -331,23 +332,24 @@
     }
 }
 
-// Targets that tell no load are not asked: their health path would wait for a slot. The one with the least of our own work is taken.
-static void SendUnasked(const CallPtr& call)
+// Targets that report no load are not probed: a request to their health path might have to wait for a slot. Chooses by the load that this
+// instance itself has put on them.
+static void SendUnprobed(const CallPtr& call)
 {
-    PoolTarget* target = NextUnasked(call.get());
-    const bool full = target != nullptr && target->InFlight >= call->Owner->Config.UnaskedMost * target->Slots;
+    PoolTarget* target = NextUnprobed(call.get());
+    const bool full = target != nullptr && target->InFlight >= call->Owner->Config.MaxUnprobedFactor * target->Slots;
     const bool cold = target != nullptr && !PoolMayTakeCold(call->Service->Pool, *target, NowUs());
     if (target == nullptr || full || cold || !MayConnect(*call, *target))
     {
-        const bool spared = !call->OverLimit.empty() || PoolBackoffEnds(call->Service->Pool, NowUs());
-        const Code_ none = spared ? Code_TargetsLimited : Code_NoTargetLeft;
-        Refuse(call, target == nullptr ? none : Code_TargetsBusy, "targets tell no load");
+        const bool limited = !call->OverLimit.empty() || PoolBackoffEnds(call->Service->Pool, NowUs());
+        const Code_ none = limited ? Code_TargetsLimited : Code_NoTargetLeft;
+        RejectOrFallBack(call, target == nullptr ? none : Code_TargetsBusy, "targets report no load");
         return;
     }
     SendTo(call, target);
 }
 
-static void AskMore(const CallPtr& call)
+static void ProbeMore(const CallPtr& call)
 {
     if (call->Choosing == Choosing_None)
     {
@@ -355,27 +357,28 @@
     }
     if (!call->Service->Pool.TellsLoad || call->Spec->HealthPath.empty())
     {
-        SendUnasked(call);
+        SendUnprobed(call);
         return;
     }
     const ForwardConfig& config = call->Owner->Config;
     const TimeUs now = NowUs();
-    while (now < call->ChooseUntilUs && call->OverLimit.size() < config.OverLimitMost)
+    while (now < call->ChooseDeadlineUs && call->OverLimit.size() < config.MaxOverLimit)
     {
-        PoolTarget* next = PoolNext(&call->Service->Pool, Passed(*call), !call->Repeatable, now);
+        PoolTarget* next = PoolNext(&call->Service->Pool, ExcludedTargets(*call), !call->Retryable, now);
         const bool known = next != nullptr && next->ReportUs > 0 && now < next->ReportUs + config.ReuseUs;
-        if (next == nullptr || (!known && (call->Asking >= call->AsksAtOnce || call->AsksMade - call->AsksBefore >= config.AsksMost)))
+        if (next == nullptr || (!known && (call->ProbesInFlight >= call->MaxConcurrentProbes ||
+                                           call->ProbeCount - call->ProbeCountBefore >= config.MaxProbes)))
         {
             break;
         }
-        call->Asked.push_back(next->Id);
+        call->Probed.push_back(next->Id);
         if (!TakeLimit(call.get(), *next, now))
         {
-            continue; // Nor is it asked.
+            continue; // A target at its rate limit is not probed either.
         }
         if (!known && MayConnect(*call, *next))
         {
-            Ask(call, *next);
+            Probe(call, *next);
         }
         else if (known && IsGood(call.get(), *next, now))
         {
@@ -383,7 +386,7 @@
             return;
         }
     }
-    if (call->Asking == 0)
+    if (call->ProbesInFlight == 0)
     {
         Decide(call);
     }
@@ -391,36 +394,36 @@
 
 void ChooseTarget(const CallPtr& call, Choosing_ choosing)
 {
-    const double share = call->Owner->Config.ChooseShare;
+    const double share = call->Owner->Config.MaxChooseShare;
     call->Choosing = choosing;
-    call->Asked.clear();
+    call->Probed.clear();
     call->OverLimit.clear();
-    call->AsksBefore = call->AsksMade;
-    call->AsksAtOnce = 1;
-    call->ChooseUntilUs = NowUs() + static_cast<TimeUs>(share * static_cast<double>(call->Row->AimUs));
-    AskMore(call);
+    call->ProbeCountBefore = call->ProbeCount;
+    call->MaxConcurrentProbes = 1;
+    call->ChooseDeadlineUs = NowUs() + static_cast<TimeUs>(share * static_cast<double>(call->MatchedRoute->AimUs));
+    ProbeMore(call);
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Waiting
+// [SECTION] Waiting requests
 //-----------------------------------------------------------------------------
 
 void ServeWaiting(ServiceState* service, const std::string& target_id)
 {
     CallPtr first;
-    std::vector<std::weak_ptr<Call>> still;
+    std::vector<std::weak_ptr<Call>> still_waiting;
     for (const std::weak_ptr<Call>& entry : service->Waiting)
     {
         const CallPtr waiting = entry.lock();
         if (!waiting || !waiting->Again)
         {
-            continue; // It asks again by now, or has ended.
+            continue; // It is probing again, or has ended.
         }
-        still.push_back(entry);
-        const bool had_it = std::find(waiting->Tried.begin(), waiting->Tried.end(), target_id) != waiting->Tried.end();
-        first = had_it ? first : !first || PriorityOf(*waiting) < PriorityOf(*first) ? waiting : first;
+        still_waiting.push_back(entry);
+        const bool already_tried = std::find(waiting->Tried.begin(), waiting->Tried.end(), target_id) != waiting->Tried.end();
+        first = already_tried ? first : !first || PriorityOf(*waiting) < PriorityOf(*first) ? waiting : first;
     }
-    service->Waiting = std::move(still);
+    service->Waiting = std::move(still_waiting);
     PoolTarget* target = PoolFind(&service->Pool, target_id);
     const bool told = target != nullptr && target->ReportUs > 0;
     if (first && told && IsGood(first.get(), *target, NowUs()))
--- a/gateway/held.cpp
+++ b/gateway/held.cpp
@@ -1,8 +1,8 @@
-// held.cpp: requests that end targets: seeing that a target has ended under one, and refusing those that are held.
+// held.cpp: requests that crash targets: detects crashes while a request is in flight, and refuses quarantined requests.
 //
 // Index of this file:
-// [SECTION] Held requests
-// [SECTION] Ends of targets
+// [SECTION] Quarantined requests
+// [SECTION] Crashes of targets
 
 #include "call.h"
 
@@ -14,50 +14,51 @@
 {
 
 //-----------------------------------------------------------------------------
-// [SECTION] Held requests
+// [SECTION] Quarantined requests
 //-----------------------------------------------------------------------------
 
 const std::string& CallKey(Call* call)
 {
     if (call->Key.empty())
     {
-        call->Key = RequestKey(*call->From, call->Owner->Names.Customer);
+        call->Key = RequestKey(*call->Inbound, call->Owner->Names.Customer);
     }
     return call->Key;
 }
 
-static TimeUs HeldUntil(Call* call)
+static TimeUs QuarantinedUntil(Call* call)
 {
     const Quarantine& held = call->Owner->Held;
     return held.Requests.empty() ? 0 : QuarantineUntil(held, CallKey(call), NowUs());
 }
 
-bool IsHeld(Call* call)
+bool IsQuarantined(Call* call)
 {
-    return HeldUntil(call) > 0;
+    return QuarantinedUntil(call) > 0;
 }
 
-void EndCallHeld(const CallPtr& call)
+void EndCallQuarantined(const CallPtr& call)
 {
-    const TimeUs left = std::max<TimeUs>(HeldUntil(call.get()) - NowUs(), 0);
+    const TimeUs left = std::max<TimeUs>(QuarantinedUntil(call.get()) - NowUs(), 0);
     EndCallWith(call, Code_RequestHeld, CallKey(call.get()), left);
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Ends of targets
+// [SECTION] Crashes of targets
 //-----------------------------------------------------------------------------
 
-static void NoteEnd(Forwarder* forwarder, const std::string& request, const std::string& target)
+static void RecordCrash(Forwarder* forwarder, const std::string& request, const std::string& target)
 {
     const TimeUs now = NowUs();
-    const bool held_before = QuarantineUntil(forwarder->Held, request, now) > 0;
+    const bool was_quarantined = QuarantineUntil(forwarder->Held, request, now) > 0;
     if (!QuarantineNote(&forwarder->Held, request, target, now))
     {
         return;
     }
     const TimeUs until = QuarantineUntil(forwarder->Held, request, now);
-    const bool held_now = !held_before && until > 0;
-    Log(held_now ? LogLevel_Warn : LogLevel_Info, held_now ? Code_RequestHeld : Code_None, held_now ? "request held" : "target ended",
+    const bool newly_quarantined = !was_quarantined && until > 0;
+    Log(newly_quarantined ? LogLevel_Warn : LogLevel_Info, newly_quarantined ? Code_RequestHeld : Code_None,
+        newly_quarantined ? "request held" : "target ended",
         {{"request", request},
          {"target", target},
          {"ends", QuarantineEnds(forwarder->Held, request)},
@@ -68,34 +69,34 @@
     }
 }
 
-// What a target says, or does not say, right after it closed a connection without an answer.
-static bool HasEnded(const Forwarder& forwarder, const std::string& id, const ClientAnswer& answer)
+// Whether the answer to the check after a connection was closed without an answer shows that the target has crashed.
+static bool HasCrashed(const Forwarder& forwarder, const std::string& id, const ClientAnswer& answer)
 {
     switch (answer.End)
     {
     case ClientEnd_NotConnected:
     case ClientEnd_Lost:
     case ClientEnd_Broken:
-        return true; // Nobody is there, or something in front of it finds nobody.
+        return true; // Nothing listens there, or a proxy in front of the target cannot reach it.
     case ClientEnd_Answered:
     {
-        const std::string* told = FindHeader(answer.Headers, forwarder.Names.TargetId);
-        return told != nullptr && *told != id; // Another one has its address already.
+        const std::string* answering_id = FindHeader(answer.Headers, forwarder.Names.TargetId);
+        return answering_id != nullptr && *answering_id != id; // Another target has taken over the address.
     }
     default:
-        return false; // It lives, or nothing can be known: it may be cut off, or stand still.
+        return false; // It is alive, or its state is unknown: it may be unreachable or hang.
     }
 }
 
-// A target that has only cut our connection answers a question on a new one. Where it has no health path nothing is sent: that a connection
-// comes up must do.
-void LookWhetherEnded(Call* call, const Attempt& attempt)
+// A target that has only closed the connection answers a health request on a new one. Where the service has no health path, nothing is
+// sent: a connection that is accepted shows that the target is alive.
+void CheckForCrash(Call* call, const Attempt& attempt)
 {
     Forwarder* forwarder = call->Owner;
     const PoolTarget* target = PoolFindEntry(&call->Service->Pool, attempt.Target, attempt.Entry);
     if (target == nullptr)
     {
-        return; // It leaves, or has left: its end is planned.
+        return; // It is draining or has left: an intended stop.
     }
     ClientRequest request;
     request.Address = attempt.Address;
@@ -106,43 +107,43 @@
     {
         return asks;
     };
-    const auto looked = [forwarder, key = CallKey(call), attempt](const ClientAnswer& answer)
+    const auto on_checked = [forwarder, key = CallKey(call), attempt](const ClientAnswer& answer)
     {
-        if (HasEnded(*forwarder, attempt.Target, answer))
+        if (HasCrashed(*forwarder, attempt.Target, answer))
         {
-            NoteEnd(forwarder, key, TargetLife(attempt.Target, attempt.Life));
+            RecordCrash(forwarder, key, TargetLife(attempt.Target, attempt.Life));
         }
     };
-    ClientSend(forwarder->Targets, std::move(request), looked);
+    ClientSend(forwarder->Targets, std::move(request), on_checked);
 }
 
-// A target that was asked right before lived when the request was sent: it has not been silent from the start, as one is that ended before.
-static bool LivedWhenSent(const Forwarder& forwarder, const Attempt& attempt)
+// Whether a recent load report shows that the target was alive when the request was sent. Otherwise it may have crashed before.
+static bool WasAliveWhenSent(const Forwarder& forwarder, const Attempt& attempt)
 {
     return attempt.ReportUs > 0 && attempt.SentUs - attempt.ReportUs <= forwarder.Config.ReuseUs;
 }
 
-void NoteSilent(Call* call, const Attempt& attempt)
+void RecordUnanswered(Call* call, const Attempt& attempt)
 {
     Forwarder* forwarder = call->Owner;
-    if (!LivedWhenSent(*forwarder, attempt))
+    if (!WasAliveWhenSent(*forwarder, attempt))
     {
         return;
     }
     const SilentAttempt silent = {CallKey(call), TargetLife(attempt.Target, attempt.Life), attempt.SentUs};
     if (SilentAttemptEnded(&forwarder->Silent, silent, NowUs()))
     {
-        NoteEnd(forwarder, silent.Request, silent.Target);
+        RecordCrash(forwarder, silent.Request, silent.Target);
     }
 }
 
-void NoteEndedTargets(Forwarder* forwarder)
+void NoteCrashedTargets(Forwarder* forwarder)
 {
     for (const std::string& target : DirectoryTakeEnded(&forwarder->Directory))
     {
         for (const SilentAttempt& attempt : SilentTargetEnded(&forwarder->Silent, target, NowUs()))
         {
-            NoteEnd(forwarder, attempt.Request, attempt.Target);
+            RecordCrash(forwarder, attempt.Request, attempt.Target);
         }
     }
 }
--- a/gateway/target_ends.cpp
+++ b/gateway/target_ends.cpp
@@ -1,9 +1,9 @@
-// target_ends.cpp: what instances tell each other of requests that end targets.
+// target_ends.cpp: exchange between instances of which requests have crashed targets.
 //
 // Index of this file:
 // [SECTION] Messages
-// [SECTION] Telling
-// [SECTION] What is heard
+// [SECTION] Sending updates
+// [SECTION] Receiving updates
 
 #include "target_ends.h"
 
@@ -46,37 +46,37 @@
     const bool whole = bytes.size() > NumberBytes && Checksum(coded) == NumberAt(bytes, 0);
     if (!whole || !DecodeMessage(coded, &message))
     {
-        return Error{Code_MessageMalformed, "not coded as it should be"};
+        return Error{Code_MessageMalformed, "checksum or encoding is wrong"};
     }
     return message;
 }
 
-static std::string AllWeKnow(const TargetEnds& ends)
+static std::string EncodeAll(const TargetEnds& ends)
 {
     return EncodeTargetEnds({ends.Known->Digest, QuarantineTell(*ends.Known, NowUs())});
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Telling
+// [SECTION] Sending updates
 //-----------------------------------------------------------------------------
 
-static void TellFollowers(TargetEnds* ends)
+static void NotifyFollowers(TargetEnds* ends)
 {
     ends->Telling = nullptr;
     ends->ToldUs = NowUs();
     ends->OnTell();
 }
 
-// What a call is for.
+// Purpose of a call.
 enum EndsCall_ : int
 {
-    EndsCall_Tell,    // All that we know.
-    EndsCall_Compare, // Whether the other one knows the same.
+    EndsCall_Push,    // Sends all known entries.
+    EndsCall_Compare, // Sends only the digest, to compare.
 };
 
 static void OnCalled(TargetEnds* ends, EndsCall_ kind, const ClientAnswer& answer);
 
-static void Call(TargetEnds* ends, EndsCall_ kind, const std::string& address, const std::string& message)
+static void SendCall(TargetEnds* ends, EndsCall_ kind, const std::string& address, const std::string& message)
 {
     ClientRequest request;
     request.Address = address;
@@ -91,18 +91,18 @@
     ClientSend(ends->Calls, std::move(request), [ends, kind](const ClientAnswer& answer) { OnCalled(ends, kind, answer); });
 }
 
-static void CallOthers(TargetEnds* ends)
+static void PushToPeers(TargetEnds* ends)
 {
     ends->Calling = nullptr;
     ends->CalledUs = NowUs();
-    const std::string message = AllWeKnow(*ends);
+    const std::string message = EncodeAll(*ends);
     for (const std::string& address : ends->Others())
     {
-        Call(ends, EndsCall_Tell, address, message);
+        SendCall(ends, EndsCall_Push, address, message);
     }
 }
 
-static void CallSoon(TargetEnds* ends)
+static void PushSoon(TargetEnds* ends)
 {
     if (ends->InProgress > 0)
     {
@@ -112,35 +112,35 @@
     if (!ends->Calling)
     {
         const TimeUs wait = std::max<TimeUs>(ends->CalledUs + ends->GatherUs - NowUs(), 0);
-        ends->Calling = TimerStart(ends->Loop, wait, [ends]() { CallOthers(ends); });
+        ends->Calling = TimerStart(ends->Loop, wait, [ends]() { PushToPeers(ends); });
     }
 }
 
-static void TellSoon(TargetEnds* ends)
+static void NotifySoon(TargetEnds* ends)
 {
     if (!ends->Telling)
     {
         const TimeUs wait = std::max<TimeUs>(ends->ToldUs + ends->GatherUs - NowUs(), 0);
-        ends->Telling = TimerStart(ends->Loop, wait, [ends]() { TellFollowers(ends); });
+        ends->Telling = TimerStart(ends->Loop, wait, [ends]() { NotifyFollowers(ends); });
     }
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] What is heard
+// [SECTION] Receiving updates
 //-----------------------------------------------------------------------------
 
-// Takes what another instance knows; our followers hear of what is new to us. True if anything was.
-static bool Take(TargetEnds* ends, const TargetEndsMessage& message)
+// Adds another instance's entries and notifies the followers of new ones. Returns true if there were any.
+static bool Merge(TargetEnds* ends, const TargetEndsMessage& message)
 {
     const bool changed = QuarantineTake(ends->Known, message.News, NowUs());
     if (changed)
     {
-        TellSoon(ends);
+        NotifySoon(ends);
     }
     return changed;
 }
 
-static Result<TargetEndsMessage> Read(const std::string& bytes)
+static Result<TargetEndsMessage> DecodeOrLog(const std::string& bytes)
 {
     Result<TargetEndsMessage> message = DecodeTargetEnds(bytes);
     if (!message)
@@ -150,15 +150,15 @@
     return message;
 }
 
-// Of two that differ after they have compared, the other one knows less.
-static void TakeAnswer(TargetEnds* ends, EndsCall_ kind, const std::string& bytes)
+// Handles the answer to a call. If digests still differ after a comparison, the other instance lacks entries: a push follows.
+static void MergeAnswer(TargetEnds* ends, EndsCall_ kind, const std::string& bytes)
 {
-    const Result<TargetEndsMessage> message = Read(bytes);
+    const Result<TargetEndsMessage> message = DecodeOrLog(bytes);
     if (!message)
     {
         return;
     }
-    Take(ends, message.value());
+    Merge(ends, message.value());
     const bool differs = message.value().Digest != ends->Known->Digest;
     ends->Wanted = ends->Wanted || (differs && kind == EndsCall_Compare);
 }
@@ -173,25 +173,25 @@
     }
     else if (!answer.Body.empty())
     {
-        TakeAnswer(ends, kind, answer.Body);
+        MergeAnswer(ends, kind, answer.Body);
     }
     if (ends->InProgress == 0 && std::exchange(ends->Wanted, false))
     {
-        CallSoon(ends);
+        PushSoon(ends);
     }
 }
 
 void TargetEndsChanged(TargetEnds* ends)
 {
-    TellSoon(ends);
-    CallSoon(ends);
+    NotifySoon(ends);
+    PushSoon(ends);
 }
 
 void TargetEndsHeard(TargetEnds* ends, uint64_t digest)
 {
     if (digest != ends->Known->Digest)
     {
-        CallSoon(ends);
+        PushSoon(ends);
     }
 }
 
@@ -201,25 +201,25 @@
     {
         return;
     }
-    const std::string question = EncodeTargetEnds({ends->Known->Digest, {}});
+    const std::string digest_only = EncodeTargetEnds({ends->Known->Digest, {}});
     for (const std::string& address : ends->Others())
     {
-        Call(ends, EndsCall_Compare, address, question);
+        SendCall(ends, EndsCall_Compare, address, digest_only);
     }
 }
 
 std::string TargetEndsTold(TargetEnds* ends, const std::string& bytes)
 {
-    const Result<TargetEndsMessage> message = Read(bytes);
+    const Result<TargetEndsMessage> message = DecodeOrLog(bytes);
     if (!message)
     {
         return "";
     }
-    if (Take(ends, message.value()))
+    if (Merge(ends, message.value()))
     {
-        CallSoon(ends);
+        PushSoon(ends);
     }
-    return message.value().Digest == ends->Known->Digest ? "" : AllWeKnow(*ends);
+    return message.value().Digest == ends->Known->Digest ? "" : EncodeAll(*ends);
 }
 
 } // namespace Winchlink
