--- a/gateway/adapter.h
+++ b/gateway/adapter.h
@@ -1,8 +1,7 @@
-// adapter.h: what an instance must be told of the platform that it runs on: header names, how its store is read, and what the store's
-// items mean.
+// adapter.h: interface to the platform that an instance runs on: header names, how its store is read, and how the store's items are parsed.
 //
-// There are two: table_adapter.h for a table of rows (the project's own interface), and platform/wire.h for the users' platform. An
-// adapter translates and decides nothing.
+// Two implementations exist: table_adapter.h for a table of rows (the project's own interface), and platform/wire.h for the platform's
+// key-value store. An adapter only translates formats; it contains no policy.
 
 #pragma once
 
@@ -12,44 +11,44 @@
 namespace Winchlink
 {
 
-// News of one target.
+// An update of one target.
 struct TargetNews
 {
-    DirectoryTarget Target; // If Gone, only its id and revision count.
-    bool Gone = false;      // Its entry went.
+    DirectoryTarget Target; // If Gone, only id and revision are used.
+    bool Gone = false;      // Its entry was removed.
 };
 
-// The operators evacuate a data centre, or give it back.
+// Operators started or ended the evacuation of a data centre.
 struct EvacuationNews
 {
     std::string DataCentre;
     Evacuation Word;
 };
 
-// An item that can't be used. An invalid entry of a target takes the target out of use; what else it would have replaced stays.
+// An item that can't be parsed or applied. An invalid entry of a target removes the target; for other items the last valid value stays.
 struct InvalidItem
 {
     std::string Key;
     Error Why;
 };
 
-// What items of the store say.
+// The parsed items of the store.
 struct StoreNews
 {
-    std::optional<RoutePlan> Plan;           // A plan, if they hold one.
+    std::optional<RoutePlan> Plan;           // The new plan, if there is one.
     std::vector<TargetNews> Targets;         // In the store's order.
     std::vector<EvacuationNews> Evacuations; // In the store's order.
-    std::vector<InvalidItem> Invalid;        //
-    bool InvalidIsAll = false;               // Invalid names all that are, also those that were read before.
+    std::vector<InvalidItem> Invalid;        // Invalid items among the parsed ones.
+    bool InvalidIsAll = false;               // Invalid is the complete list, including items of earlier calls.
 };
 
-// Items that were read together.
+// Items that were received together.
 struct StoreItems
 {
     std::vector<StoreItem> List;
-    uint64_t At = 0;         // The store's revision that they belong to.
-    bool Everything = false; // These are all items; else they are what changed.
-    TimeUs Now = 0;          // Turns times that are left into moments.
+    uint64_t At = 0;         // Revision of the store.
+    bool Everything = false; // List is a full snapshot; otherwise it holds the changes.
+    TimeUs Now = 0;          // Current time, to convert remaining times to points in time.
 };
 
 struct Adapter
--- a/gateway/gateway.cpp
+++ b/gateway/gateway.cpp
@@ -1,8 +1,8 @@
-// gateway.cpp: one instance.
+// gateway.cpp: one instance: connects its parts, starts, reloads and stops them.
 //
 // Index of this file:
 // [SECTION] Following the store
-// [SECTION] Requests that end targets
+// [SECTION] Requests that crash targets
 // [SECTION] Quotas
 // [SECTION] Readiness and pages
 // [SECTION] Planned stop
@@ -23,17 +23,18 @@
 namespace Winchlink
 {
 
-static constexpr TimeUs TickUs = 500 * UsPerMs;          // How often the settings file is looked at.
-static constexpr TimeUs StopStepUs = 50 * UsPerMs;       // How often a stopping instance looks whether it is done.
-static constexpr TimeUs StillAcceptUs = 3 * UsPerSecond; // The balancer in front takes two misses, a second each, to notice.
-static constexpr TimeUs QuietUs = 200 * UsPerMs;         // Connections under way when the listening socket was shut arrive by then.
-static constexpr TimeUs StopMarginUs = 300 * UsPerMs;    // An instance ends by itself so long before it would be killed.
+static constexpr TimeUs TickUs = 500 * UsPerMs;    // Interval of periodic work, such as the check of the settings file.
+static constexpr TimeUs StopStepUs = 50 * UsPerMs; // Interval at which a stopping instance checks whether all connections are closed.
+static constexpr TimeUs StillAcceptUs =
+    3 * UsPerSecond; // After the stop signal; the balancer in front needs two failed readiness checks, a second each.
+static constexpr TimeUs QuietUs = 200 * UsPerMs;      // Time for handshakes in progress to complete once new connections are ignored.
+static constexpr TimeUs StopMarginUs = 300 * UsPerMs; // The instance exits this long before the end of the grace time.
 
 //-----------------------------------------------------------------------------
 // [SECTION] Following the store
 //-----------------------------------------------------------------------------
 
-// Whom to ask for news: as the settings say. Those that others know by name read the store for them.
+// Configures the sources of updates. Seeds, which the settings of all instances name, read the store; the other instances follow them.
 static void SetSources(Gateway* gateway)
 {
     const Settings& settings = gateway->Config;
@@ -45,7 +46,7 @@
     FollowSetSources(&reader.Following, settings.PeerAddress, settings.StoreAddress, settings.Peers, &gateway->Rng);
     const RelayFollower own = {settings.PeerAddress, settings.DataCentre, reader.Following.Reads};
     reader.FromInstance = {RelayDialect(own), timing.PeerWaitUs, timing.PeerMarginUs, 0, timing.PeerReadUs, timing.PeerConnectUs};
-    gateway->Peers.DataCentre = PercentEncoded(settings.DataCentre); // As it comes in calls.
+    gateway->Peers.DataCentre = PercentEncoded(settings.DataCentre); // Encoded as in the query of followers.
 }
 
 static void OnStoreTrouble(Gateway* gateway, const std::string& why, TimeUs tried)
@@ -131,7 +132,7 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Requests that end targets
+// [SECTION] Requests that crash targets
 //-----------------------------------------------------------------------------
 
 static bool ReadsStore(const Gateway& gateway)
@@ -176,7 +177,7 @@
 // [SECTION] Quotas
 //-----------------------------------------------------------------------------
 
-// The instance that is followed; empty while the store is read or asked.
+// The address of the instance that is the source of updates; empty if the source is the store.
 static std::string SourceInstance(const Gateway& gateway)
 {
     const FollowStep& step = gateway.Store.Following.Next;
@@ -314,7 +315,7 @@
     LoopStop(gateway->Loop);
 }
 
-// Waits until all connections are closed, or the grace time is nearly over.
+// Closes idle connections, and ends the loop once all are closed or the grace time is nearly over.
 static void EndWhenEmpty(Gateway* gateway)
 {
     ListenerCloseIdle(&gateway->Callers);
@@ -335,7 +336,7 @@
 
 static void ShutOut(Gateway* gateway)
 {
-    ListenerIgnoreNew(&gateway->Callers); // Or callers that open one connection after another would keep it up until it is killed.
+    ListenerIgnoreNew(&gateway->Callers); // New connections would otherwise delay the exit until the grace time ends.
     EndWhenEmpty(gateway);
 }
 
@@ -495,7 +496,7 @@
 {
     if (Loop != nullptr)
     {
-        Loop->OnSuspended = nullptr; // The loop may go on without it.
+        Loop->OnSuspended = nullptr; // The loop may outlive the gateway.
     }
 }
 
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -1,4 +1,6 @@
-// gateway.h: one instance: its parts, its start, its reload and its planned stop.
+// gateway.h: one instance: its parts, start, reload and planned stop.
+//
+// How to use it: GatewayStart(), then GatewayRun(). The event loop must outlive the gateway.
 
 #pragma once
 
@@ -12,30 +14,28 @@
 namespace Winchlink
 {
 
-// How long an instance waits for changes, and for a sign of life, at its sources.
+// Long-poll times and timeouts of the calls to the sources of updates: the store and other instances (peers).
 struct GatewayTiming
 {
-    TimeUs StoreWaitUs = 800 * UsPerMs;   // At the store: those that follow us must hear of its loss, and find another way, within 2 s.
-    TimeUs LoneWaitUs = 2 * UsPerSecond;  // The same where nobody follows us. Each call has its price.
-    TimeUs StoreMarginUs = 350 * UsPerMs; // The store answers within milliseconds.
-    TimeUs StoreGatherUs = 300 * UsPerMs; // Changes that come so close together cost one call.
-    TimeUs PeerWaitUs = 950 * UsPerMs;    // At another instance: a little longer than the time between what it tells by itself.
-    TimeUs PeerMarginUs = 250 * UsPerMs;  // It may be busy.
-    TimeUs StoreReadUs = 1500 * UsPerMs;  // For a page of the store.
-    TimeUs PeerReadUs = 1200 * UsPerMs; // And for everything from another instance: it may hold us for half a second, and it may be frozen.
-    TimeUs StoreConnectUs = 250 * UsPerMs; // For a connection to the store.
-    TimeUs PeerConnectUs = 100 * UsPerMs;  // And to another instance. One without power says nothing, and there is another to ask; a fleet
-                                           // that starts finds a first contact that comes up late so much sooner (0.15 s).
-    TimeUs ApplyUs = UsPerMs; // What we learn is handed on before we read it ourselves, which takes a tenth of a core 0.1 s for
-                              // 700 targets: a fleet that starts at once learns it level by level.
+    TimeUs StoreWaitUs = 800 * UsPerMs;    // Long poll at the store; short enough that followers learn of its loss within 2 s.
+    TimeUs LoneWaitUs = 2 * UsPerSecond;   // The same without peers: no instance follows this one, and longer polls mean fewer calls.
+    TimeUs StoreMarginUs = 350 * UsPerMs;  // Added to the long poll of the store for the timeout of the call.
+    TimeUs StoreGatherUs = 300 * UsPerMs;  // Pause after changes from the store, so that several arrive in one call.
+    TimeUs PeerWaitUs = 950 * UsPerMs;     // Long poll at a peer; slightly longer than the interval of its heartbeats.
+    TimeUs PeerMarginUs = 250 * UsPerMs;   // Added to the long poll of a peer for the timeout of the call.
+    TimeUs StoreReadUs = 1500 * UsPerMs;   // Timeout of reading a page of the store.
+    TimeUs PeerReadUs = 1200 * UsPerMs;    // Timeout of reading all items from a peer, which may delay its answer by half a second.
+    TimeUs StoreConnectUs = 250 * UsPerMs; // Timeout of connecting to the store.
+    TimeUs PeerConnectUs = 100 * UsPerMs;  // Timeout of connecting to a peer; short, as there are other sources to try.
+    TimeUs ApplyUs = UsPerMs;              // Delay before updates are parsed and applied, so that they are sent to followers first.
 };
 
-// What the store says, as it came, before it is read.
+// Items received from a source and not parsed yet.
 struct StoreBatch
 {
     std::vector<StoreItem> Items;
     uint64_t At = 0;         // Revision.
-    bool Everything = false; // These are all items; else they are what changed.
+    bool Everything = false; // Items is a full snapshot; otherwise it holds the changes.
 };
 
 struct Gateway
@@ -43,33 +43,33 @@
     Settings Config;
     Adapter Platform;
     GatewayTiming Timing;
-    std::string SettingsFile;  // Read again on SIGHUP and when it changes.
+    std::string SettingsFile;  // Path; the file is read again on SIGHUP and when it changes.
     EventLoop* Loop = nullptr; // Borrowed.
     Random Rng;
     Client Targets;
-    Client Control; // For the store: its connections are kept apart from those to targets.
+    Client Control; // Calls to the store and to other instances, on connections apart from those to targets.
     StoreReader Store;
     Relay Peers;
     Forwarder Requests;
-    TargetEnds Ends;  // What others know of requests that end targets.
-    QuotaLink Quotas; // What others know of customers' quotas.
+    TargetEnds Ends;  // Exchange with other instances about requests that crash targets.
+    QuotaLink Quotas; // Exchange with other instances about quotas of customers and limits of targets.
     Listener Callers;
     Listener Readiness;
     Listener Metrics;
     std::vector<SignalWatch> Signals;
-    Timer Second;                               // Twice a second: settings file.
-    std::vector<StoreBatch> Unread;             // Learnt, handed on, and not read yet; in order.
-    Timer Reading;                              // It is read then.
-    Timer Forgetting;                           // The next vanished target is forgotten then.
-    Timer Stopping;                             // The next step of a planned stop.
-    TimeUs StartedUs = 0;                       // When it was started.
-    TimeUs PlanUs = 0;                          // When the plan came in force; 0: there is none.
-    std::map<std::string, std::string> Invalid; // Items of the store that can't be used, with the reason; by key.
-    uint64_t InvalidSeen = 0;                   // Counter.
-    TimeUs StopUs = 0;                          // When the stop signal came; 0: not yet.
-    TimeUs SuspendedUs = 0;                     // Counter: how long the machine was suspended.
-    bool Stopped = false;                       // The planned stop is over.
-    int64_t SettingsTime = 0;                   // When the settings file was last changed.
+    Timer Second;                               // Next periodic work, such as the check of the settings file.
+    std::vector<StoreBatch> Unread;             // Batches sent to followers and not applied here yet, in order.
+    Timer Reading;                              // Applies the batches in Unread.
+    Timer Forgetting;                           // Removes the next missing target whose retention is over.
+    Timer Stopping;                             // Next step of a planned stop.
+    TimeUs StartedUs = 0;                       // Time of GatewayStart().
+    TimeUs PlanUs = 0;                          // Time when the current plan was applied; 0 if there is none.
+    std::map<std::string, std::string> Invalid; // Reasons why items of the store are invalid, by key.
+    uint64_t InvalidSeen = 0;                   // Counter: invalid items received.
+    TimeUs StopUs = 0;                          // Time of the stop signal; 0 if none.
+    TimeUs SuspendedUs = 0;                     // Counter: total time for which the machine was suspended.
+    bool Stopped = false;                       // The planned stop is complete.
+    int64_t SettingsTime = 0;                   // Modification time of the settings file, in Unix nanoseconds; 0 if unknown.
 
     Gateway() = default;
     ~Gateway();
@@ -77,20 +77,20 @@
     Gateway& operator=(const Gateway&) = delete;
 };
 
-// Starts an instance in a loop of yours; on an error nothing runs.
+// Starts an instance on the given loop.
 Result<void> GatewayStart(Gateway* gateway, EventLoop* loop, const Adapter& adapter, const Settings& settings);
 
-// Lets signals stop it (SIGTERM, SIGINT) and reload its settings (SIGHUP).
+// Handles signals: SIGTERM and SIGINT call GatewayStop(), SIGHUP calls GatewayReload().
 void GatewayWatchSignals(Gateway* gateway);
 
-// Planned stop: not ready, still serving until the balancer in front has noticed, then ends idle connections. `Stopped` is set when all
-// connections are closed or the grace time is nearly over. Calling it again ends it at once.
+// Starts a planned stop: reports not ready, keeps serving until the balancer in front has noticed, then closes idle connections. `Stopped`
+// is set when all connections are closed or the grace time is nearly over. A second call stops at once.
 void GatewayStop(Gateway* gateway);
 
-// Reads the settings file again; what can't be used is logged and the old settings stay.
+// Reads the settings file again. On a fault, logs it and keeps the old settings.
 void GatewayReload(Gateway* gateway);
 
-// Runs until the instance has stopped. Returns how many requests were cut.
+// Runs until the instance has stopped. Returns the number of requests that were still in progress.
 int GatewayRun(Gateway* gateway);
 
 } // namespace Winchlink
--- a/gateway/message_codec.h
+++ b/gateway/message_codec.h
@@ -1,4 +1,4 @@
-// message_codec.h: messages between instances as bytes, by cereal, and what keeps bytes that are none from being read.
+// message_codec.h: serialisation of messages between instances with cereal, and the checksum that detects corrupted ones.
 
 #pragma once
 
@@ -12,7 +12,7 @@
 namespace Winchlink
 {
 
-inline constexpr size_t NumberBytes = 4; // Of a size or checksum in a message, the lowest first.
+inline constexpr size_t NumberBytes = 4; // Size of a number in a message, little-endian.
 
 inline void AppendNumber(std::string* out, size_t number)
 {
@@ -32,7 +32,7 @@
     return number;
 }
 
-// Without it, changed bytes could name a size that takes all memory before anything else is found wrong.
+// CRC-32. Checked before decoding, because a corrupted size field could make cereal allocate excessive memory.
 inline uint32_t Checksum(const std::string& bytes)
 {
     return static_cast<uint32_t>(crc32(0, reinterpret_cast<const Bytef*>(bytes.data()), static_cast<uInt>(bytes.size())));
@@ -48,7 +48,7 @@
     return stream.str();
 }
 
-// False for bytes that are no such message; `value` is then of no use.
+// False if the bytes are not a valid message; the content of `value` is then unspecified.
 template <class T> bool DecodeMessage(const std::string& bytes, T* value)
 {
     try
@@ -57,7 +57,7 @@
         cereal::PortableBinaryInputArchive archive(stream);
         archive(*value);
     }
-    catch (const std::exception&) // cereal's way to say that the bytes end too soon, or ask for too much memory.
+    catch (const std::exception&) // Truncated input, or an allocation that failed.
     {
         return false;
     }
