--- a/gateway/table_adapter.cpp
+++ b/gateway/table_adapter.cpp
@@ -1,4 +1,4 @@
-// table_adapter.cpp: the operators' table, translated into a plan and targets.
+// table_adapter.cpp: translates the operators' table into a route plan and targets.
 //
 // Index of this file:
 // [SECTION] The service's calls
@@ -20,7 +20,8 @@
 // [SECTION] The service's calls
 //-----------------------------------------------------------------------------
 
-// An item whose row can't be read is handed on without it: whoever reads it finds the row invalid. False if it names no row.
+// Parses one item. If its row is malformed, the value is left empty, so that every reader of the item, here and at followers, reports the
+// row as invalid. False if the item has no name.
 static bool ReadItem(json_t* value, const std::string& where, uint64_t at, std::vector<Fault>* faults, StoreItem* out)
 {
     ObjectReader r;
@@ -102,18 +103,18 @@
 struct KnownRow
 {
     ServiceRow Row;
-    uint64_t Revision = 0; // Of its last change.
+    uint64_t Revision = 0; // Revision of the last change.
 };
 
-// What was read so far.
+// The rows received so far.
 struct TableState
 {
-    std::map<std::string, KnownRow> Rows;           // As the service says, by name.
-    std::map<std::string, Error> Unusable;          // Rows that can't be read: while there are any, no table comes in force.
-    std::map<std::string, DirectoryTarget> InForce; // Targets of the last good table, by id.
+    std::map<std::string, KnownRow> Rows;           // Valid rows, by name.
+    std::map<std::string, Error> Unusable;          // Errors of malformed rows, by name; while there are any, the table is rejected.
+    std::map<std::string, DirectoryTarget> InForce; // Targets of the last valid table, by id.
 };
 
-// Names of items that are no rows: the rest is an evacuated data centre. No row's name has a colon.
+// An item named with this prefix and a data centre evacuates it. Names of rows contain no colon.
 static constexpr const char* EvacuationPrefix = "evacuated:";
 
 static bool IsEvacuation(const StoreItem& item)
@@ -167,8 +168,8 @@
 // [SECTION] Evacuations
 //-----------------------------------------------------------------------------
 
-// In force whatever is wrong with the rows: who empties a data centre can't wait for that. Names that no target has are taken as they come;
-// targets that join such a data centre get nothing.
+// Evacuations apply even while the rows have faults, so that an evacuation is never delayed. Data centres without targets are accepted too:
+// targets that join one later get no requests.
 static std::vector<EvacuationNews> ReadEvacuations(const std::vector<StoreItem>& list)
 {
     std::vector<EvacuationNews> news;
@@ -186,7 +187,7 @@
 // [SECTION] Targets
 //-----------------------------------------------------------------------------
 
-// The targets that may get work, by id.
+// The targets with a weight above 0, by id.
 static std::map<std::string, DirectoryTarget> MakeTargets(const TableState& state)
 {
     std::map<std::string, DirectoryTarget> targets;
@@ -212,7 +213,7 @@
     return targets;
 }
 
-// A target that is taken out of the table, or gets the weight 0, gets nothing more from now on. It may come back with a later edit.
+// Reports a target that was removed from the table, or whose weight became 0, as draining and then as removed.
 static void AddLeaving(const DirectoryTarget& before, uint64_t revision, StoreNews* news)
 {
     DirectoryTarget leaving = before;
@@ -222,7 +223,7 @@
     news->Targets.push_back({leaving, true});
 }
 
-// Where everything was read all targets are named, else those of rows that have changed.
+// Reports all targets after a full snapshot, otherwise only removed ones and those of changed rows.
 static void AddTargets(TableState* state, const StoreItems& items, StoreNews* news)
 {
     std::map<std::string, DirectoryTarget> next = MakeTargets(*state);
@@ -253,7 +254,7 @@
         state->Rows.clear();
         state->Unusable.clear();
     }
-    news.InvalidIsAll = true; // A table is in force as a whole, or not at all.
+    news.InvalidIsAll = true; // The table is always checked as a whole.
     news.Evacuations = ReadEvacuations(items.List);
     for (const StoreItem& item : items.List)
     {
@@ -268,7 +269,7 @@
     }
     const Table table = MakeTable(*state, items.At);
     std::vector<Fault> faults;
-    CheckRows(table, &faults); // Each row by itself was checked when it was read.
+    CheckRows(table, &faults); // Checks across rows; ParseRow() has checked each row.
     for (const Fault& fault : faults)
     {
         news.Invalid.push_back({fault.Where, {fault.Code, fault.Where + ": " + fault.Detail}});
--- a/gateway/table_adapter.h
+++ b/gateway/table_adapter.h
@@ -1,7 +1,7 @@
-// table_adapter.h: the project's own interface: a service that serves the operators' table, row by row.
+// table_adapter.h: adapter for the project's own interface: a service that serves the operators' table row by row.
 //
-// docs/PLATFORM.md describes its two calls. Rows are applied together as they came, checked as one table: a table with a fault never comes
-// in force, and the last good one stays.
+// docs/PLATFORM.md describes its two calls. All rows are checked together as one table; a table with a fault is rejected as a whole, and
+// the last valid one stays in use.
 
 #pragma once
 
@@ -10,7 +10,7 @@
 namespace Winchlink
 {
 
-// Keeps the rows it has read: one adapter for each instance.
+// Returns an adapter that stores the rows received so far; each instance needs its own.
 Adapter TableAdapter();
 
 } // namespace Winchlink
