--- a/gateway/loop.cpp
+++ b/gateway/loop.cpp
@@ -1,6 +1,6 @@
 // loop.cpp: the event loop of an instance, on libuv.
 //
-// libuv frees nothing by itself: a handle may go only after its close callback, so each handle owns itself from then on.
+// libuv requires a handle to stay in memory until its close callback, so handles are freed there.
 //
 // Index of this file:
 // [SECTION] Loop
@@ -29,7 +29,7 @@
     std::function<void()> Run;
 };
 
-// The time since the last wait began, less what was waited: how long everything else was held up.
+// Updates LongestStepUs: the time since the last wait started, minus the time waited.
 static void MeasureStep(EventLoop* loop)
 {
     constexpr uint64_t ns_per_us = 1000;
@@ -50,11 +50,11 @@
 
 static void StartTimer(TimerHandle* timer, uint64_t delay_ms);
 
-// libuv counts by a clock that stands still while the machine is suspended. Without this a request would be held, and a target that has
-// gone would be used, for as much longer as the suspension lasted.
+// Advances all timers by the time for which the machine was suspended, as libuv's clock stands still then. Otherwise timeouts would be
+// late by the length of the suspension.
 static void CountSuspension(EventLoop* loop)
 {
-    constexpr TimeUs least = 20 * UsPerMs; // Less is the time between the readings of two clocks.
+    constexpr TimeUs least = 20 * UsPerMs; // Smaller differences come from reading the two clocks one after the other.
     const TimeUs asleep = loop->AsleepUs();
     const TimeUs slept = asleep - loop->AsleepBeforeUs;
     if (slept < least)
@@ -88,7 +88,7 @@
 EventLoop::EventLoop() : AsleepUs(TimeAsleep), AsleepBeforeUs(TimeAsleep())
 {
     const int made = uv_loop_init(&Uv);
-    assert(made == 0 && "the process has no descriptor left for an event loop");
+    assert(made == 0 && "creating an event loop failed, for example for lack of file descriptors");
     (void)made;
     uv_loop_configure(&Uv, UV_METRICS_IDLE_TIME);
     uv_prepare_init(&Uv, &Prepare);
@@ -99,7 +99,7 @@
 EventLoop::~EventLoop()
 {
     uv_close(reinterpret_cast<uv_handle_t*>(&Prepare), nullptr);
-    uv_run(&Uv, UV_RUN_NOWAIT); // Lets closed handles free themselves.
+    uv_run(&Uv, UV_RUN_NOWAIT); // Runs the close callbacks.
     uv_loop_close(&Uv);
 }
 
@@ -155,7 +155,7 @@
 {
     auto* timer = static_cast<TimerHandle*>(uv->data);
     timer->Owner->Timers.erase(timer);
-    const std::function<void()> once = std::move(timer->Run); // The call may end the timer.
+    const std::function<void()> once = std::move(timer->Run); // Moved out, as the call may destroy the timer.
     once();
 }
 
@@ -195,7 +195,7 @@
 
 static void OnSocketReady(uv_poll_t* uv, int status, int events)
 {
-    const std::function<void(int)> run = static_cast<WatchHandle*>(uv->data)->Run; // A copy: the call may end the watch.
+    const std::function<void(int)> run = static_cast<WatchHandle*>(uv->data)->Run; // Copied, as the call may destroy the watch.
     run(status < 0 ? UV_READABLE | UV_WRITABLE | UV_DISCONNECT : events);
 }
 
--- a/gateway/loop.h
+++ b/gateway/loop.h
@@ -1,7 +1,7 @@
 // loop.h: the event loop of an instance, on libuv: timers, watched sockets and signals.
 //
-// How to use it: start timers and watches, then LoopRun(). All callbacks run on the thread that runs the loop, so nothing here locks. A
-// handle ends its timer or watch when it is destroyed; a callback may destroy its own handle.
+// How to use it: start timers and watches, then call LoopRun(). All callbacks run on the thread that runs the loop, so there are no locks.
+// Destroying a handle stops its timer or watch; a callback may destroy its own handle.
 //
 // Index of this file:
 // [SECTION] Loop
@@ -26,17 +26,17 @@
 
 struct EventLoop
 {
-    uv_loop_t Uv = {};                               // libuv's part.
-    uv_prepare_t Prepare = {};                       // Runs the hooks.
-    std::map<uint64_t, std::function<void()>> Hooks; // Called before each wait.
-    uint64_t LastHook = 0;                           //
-    uint64_t StepFromNs = 0;                         // When the loop last began to wait, by libuv's clock.
-    uint64_t IdleNs = 0;                             // How long it had waited in all by then.
-    TimeUs LongestStepUs = 0;                        // Longest time that it worked between two waits.
-    std::set<struct TimerHandle*> Timers;            // Not run yet.
-    std::function<TimeUs()> AsleepUs;                // How long the machine has been suspended in all; another one for tests.
+    uv_loop_t Uv = {};                               // libuv's loop.
+    uv_prepare_t Prepare = {};                       // Calls the hooks.
+    std::map<uint64_t, std::function<void()>> Hooks; // Called before each wait, by id.
+    uint64_t LastHook = 0;                           // Id of the newest hook.
+    uint64_t StepFromNs = 0;                         // Time when the loop last started to wait, by libuv's clock.
+    uint64_t IdleNs = 0;                             // Total time the loop had waited by then.
+    TimeUs LongestStepUs = 0;                        // Longest time spent on callbacks between two waits.
+    std::set<struct TimerHandle*> Timers;            // Timers that have not fired.
+    std::function<TimeUs()> AsleepUs;                // Total time for which the machine was suspended; tests replace it.
     std::function<void(TimeUs)> OnSuspended;         // Called after a suspension, with its length, before timers run. May be empty.
-    TimeUs AsleepBeforeUs = 0;                       // What AsleepUs() last said.
+    TimeUs AsleepBeforeUs = 0;                       // Last result of AsleepUs().
 
     EventLoop();
     ~EventLoop();
@@ -48,10 +48,10 @@
 void LoopRun(EventLoop* loop);
 void LoopStop(EventLoop* loop);
 
-// Runs until `done` holds or the time is over. True if it holds.
+// Runs until `done` returns true or the time limit is over. Returns the last result of `done`.
 bool LoopRunUntil(EventLoop* loop, TimeUs limit, const std::function<bool()>& done);
 
-// Calls `hook` each time the loop is about to wait, after all that was ready has been handled. The number takes it back.
+// Calls `hook` each time before the loop waits, after all ready events have been handled. Returns an id for LoopEndBeforeWait().
 uint64_t LoopBeforeWait(EventLoop* loop, std::function<void()> hook);
 void LoopEndBeforeWait(EventLoop* loop, uint64_t number);
 
@@ -68,8 +68,8 @@
 
 using Timer = std::unique_ptr<TimerHandle, TimerEnd>;
 
-// Calls `run` once after `delay`, rounded up to milliseconds. Time for which the machine is suspended counts, though libuv's clock stands
-// still meanwhile: it is noticed when the loop is next about to wait, and each timer that became due runs then, once.
+// Calls `run` once after `delay`, rounded up to milliseconds. Time for which the machine is suspended counts, although libuv's clock does
+// not advance then: suspensions are detected before each wait, and timers that became due run then.
 Timer TimerStart(EventLoop* loop, TimeUs delay, std::function<void()> run);
 
 //-----------------------------------------------------------------------------
@@ -85,11 +85,11 @@
 
 using Watch = std::unique_ptr<WatchHandle, WatchEnd>;
 
-// Calls `run` with libuv's events (UV_READABLE, UV_WRITABLE, UV_DISCONNECT) when one of `events` holds. End the watch before the socket
-// is closed.
+// Calls `run` with libuv's events (UV_READABLE, UV_WRITABLE, UV_DISCONNECT) when one of `events` occurs. Destroy the watch before closing
+// the socket.
 Watch WatchStart(EventLoop* loop, int socket, int events, std::function<void(int events)> run);
 
-// Watches for other events from now on.
+// Replaces the watched events; 0 pauses the watch.
 void WatchChange(WatchHandle* watch, int events);
 
 //-----------------------------------------------------------------------------
