--- a/gateway/caller_key.cpp
+++ b/gateway/caller_key.cpp
@@ -1,4 +1,4 @@
-// caller_key.cpp: the customer's key in a caller's request.
+// caller_key.cpp: reads and removes the customer's key in a caller's request.
 
 #include "caller_key.h"
 
@@ -11,7 +11,7 @@
 
 static constexpr const char* KeyHeader = "Authorization";
 
-// What follows the word "Bearer" and at least one blank; empty if it is another scheme.
+// The key after the scheme "Bearer"; empty if the scheme is another one.
 static std::string BearerKey(const std::string& value)
 {
     const std::string scheme = "Bearer";
--- a/gateway/caller_key.h
+++ b/gateway/caller_key.h
@@ -1,4 +1,4 @@
-// caller_key.h: the customer's key in a caller's request, which no target sees.
+// caller_key.h: reads the customer's key from a caller's request, and removes it before the request is sent to a target.
 
 #pragma once
 
@@ -8,11 +8,11 @@
 namespace Winchlink
 {
 
-// The key of "Authorization: Bearer KEY". None if there is no such header, or several that differ.
+// The hash of the key in "Authorization: Bearer KEY". None if there is no such header, or if several differ.
 std::optional<KeyHash> ReadCallerKey(const std::vector<Header>& headers);
 
-// Takes the key out of the request, however it is spelt, and names the customer in its place, whatever the caller says of that; an empty
-// name names nobody.
+// Removes all Authorization headers, and sets the header `customer_header` to the customer's name in place of any value from the caller. If
+// `customer` is empty, the header is only removed.
 void ReplaceCallerKey(std::vector<Header>* headers, const std::string& customer_header, const std::string& customer);
 
 } // namespace Winchlink
--- a/gateway/request_key.cpp
+++ b/gateway/request_key.cpp
@@ -1,4 +1,4 @@
-// request_key.cpp: what makes two requests the same one to a target, whatever their ids.
+// request_key.cpp: hashes a request to a key that is independent of its request id.
 //
 // Index of this file:
 // [SECTION] Hashing
@@ -14,10 +14,10 @@
 // [SECTION] Hashing
 //-----------------------------------------------------------------------------
 
-static constexpr size_t BodyHashed = MiB;                        // Of a body: a millisecond of an instance's only thread.
-static constexpr size_t KeyBytes = crypto_generichash_BYTES_MIN; // 16: no two requests of one fleet share a key by chance.
+static constexpr size_t BodyHashed = MiB;                        // Bytes of a body that are hashed; bounds the time on the event loop.
+static constexpr size_t KeyBytes = crypto_generichash_BYTES_MIN; // 16; makes accidental collisions negligible.
 
-// The length goes first, so that two parts never read like two others.
+// The length comes first, so that different sequences of parts never hash the same bytes.
 static void AddPart(crypto_generichash_state* state, const std::string& part)
 {
     const uint64_t size = part.size();
--- a/gateway/request_key.h
+++ b/gateway/request_key.h
@@ -1,7 +1,7 @@
-// request_key.h: what makes two requests the same one to a target, whatever their ids.
+// request_key.h: a key that identifies equal requests, independent of their request ids.
 //
-// A caller that comes back sends a new request id, maybe to another instance. Whoever wants to know what became of a request before needs
-// something that stays.
+// A caller that retries a request uses a new request id, and may send it to another instance. The key stays the same, so that all instances
+// recognise the request.
 
 #pragma once
 
@@ -10,11 +10,11 @@
 namespace Winchlink
 {
 
-// A hash of method, host, path and query, credentials, and the size and first MiB of the body, as 32 hexadecimal digits. Not in it is what
-// differs from try to try: the request id, the deadline, the connection, and the address that the caller comes from. Two callers without
-// credentials that send the same bytes have the same key: a target can't tell them apart either. BLAKE2b of 16 bytes by libsodium, so
-// nobody finds a second request with the key of another one, and bodies can't be read from it.
-// `customer_header` names the customer, in place of credentials, where there are customers.
+// A 16-byte BLAKE2b hash, as 32 hexadecimal digits, of method, host, path and query, credentials (Authorization and Cookie), the customer,
+// and the size and first MiB of the body. Excluded is what differs between retries: request id, deadline, connection and the caller's
+// address. Callers without credentials that send equal requests share a key. The hash is cryptographic: a request can't be forged to match
+// the key of another, and bodies can't be recovered from it.
+// `customer_header` is the header with the customer's name, which replaces the credentials where there are customers.
 std::string RequestKey(const Exchange& exchange, const std::string& customer_header = "");
 
 } // namespace Winchlink
--- a/gateway/request_reader.cpp
+++ b/gateway/request_reader.cpp
@@ -1,11 +1,11 @@
-// request_reader.cpp: reads one HTTP/1.1 request of a caller, on Boost.Beast's parser.
+// request_reader.cpp: incremental parser for one HTTP/1.1 request, based on Boost.Beast.
 //
-// Beast's parser is given the bytes that wait and says how many it took; no part of Beast that does input or output is used. What it lets
-// pass and would make a message ambiguous is refused here: a transfer coding that is not "chunked", and a host that is missing or named
-// twice. Each could make us and a target see different requests in the same bytes.
+// Only Beast's parser is used, none of its input and output. Ambiguous messages that Beast accepts are rejected here: a transfer coding
+// other than "chunked", and a Host header that is missing or repeated. Either could lead to request smuggling, where the instance and a
+// target parse different requests from the same bytes.
 //
-// Fields behind a chunked body (trailers) are read, must be well formed, and are dropped, as RFC 9112, 7.1.2 allows. They never count as
-// headers: Beast adds them to these, so that headers are taken and judged before any of the body is read.
+// Trailers after a chunked body must be well formed and are dropped, as RFC 9112, 7.1.2 allows. Beast appends them to the headers, so the
+// headers are copied and checked before the body is parsed.
 //
 // Index of this file:
 // [SECTION] Errors
@@ -25,7 +25,7 @@
 
 namespace http = boost::beast::http;
 
-// Bytes of a chunk's first line, or of all trailers: Beast wants each whole, and has no limit for them. No caller has need of more.
+// Maximum bytes of a chunk's first line, or of all trailers. Beast consumes each only when it is complete, and does not limit its size.
 static constexpr size_t ChunkHeadMost = 64 * KiB;
 
 struct RequestParser
@@ -62,7 +62,7 @@
 // [SECTION] Headers
 //-----------------------------------------------------------------------------
 
-// Bytes of the first line and the headers as they were sent.
+// Size in bytes of the request line and the headers.
 static size_t HeaderBytes(const CallerRequest& request)
 {
     constexpr size_t line_extra = std::string_view("  HTTP/1.1\r\n").size();
@@ -75,7 +75,7 @@
     return bytes;
 }
 
-// Whether there is exactly one host, no foreign transfer coding, and a version that we speak.
+// Whether there is exactly one Host header (in HTTP/1.0 at most one), no transfer coding but "chunked", and a supported version.
 static bool IsUnambiguous(const RequestParser& parser)
 {
     constexpr unsigned http_1_0 = 10;
@@ -121,7 +121,7 @@
 // [SECTION] Feeding
 //-----------------------------------------------------------------------------
 
-// Line ends before a request are left over from a sloppy one before (RFC 9112, 2.2).
+// Skips empty lines before the request line (RFC 9112, 2.2).
 static void SkipLineEnds(std::string* bytes)
 {
     bytes->erase(0, std::min(bytes->find_first_not_of("\r\n"), bytes->size()));
@@ -136,7 +136,7 @@
     reader->State = ReadState_Headers;
 }
 
-// Gives Beast the bytes that wait, up to the end of the headers or, once these are read, of the request.
+// Feeds bytes to Beast up to the end of the headers or, if these are complete, of the request. Removes the consumed bytes.
 static boost::beast::error_code PutBytes(RequestParser* parser, std::string* bytes)
 {
     auto& beast = parser->Beast;
--- a/gateway/request_reader.h
+++ b/gateway/request_reader.h
@@ -1,7 +1,8 @@
-// request_reader.h: reads one HTTP/1.1 request of a caller from the bytes of its connection, as they come; on Boost.Beast's parser.
+// request_reader.h: incremental parser for one HTTP/1.1 request, based on Boost.Beast.
 //
-// How to use it: RequestReaderBegin() with the limits, then RequestReaderFeed() with all bytes that wait, whenever more have come. It takes
-// what belongs to the request and leaves the rest, which may be the next request. After ReadState_Whole, take Request and begin anew.
+// How to use it: call RequestReaderBegin() with the limits, then RequestReaderFeed() with all unparsed bytes whenever more have arrived. It
+// consumes what belongs to the request and leaves the rest, which may be the next request. After ReadState_Whole, move Request out and call
+// RequestReaderBegin() again.
 
 #pragma once
 
@@ -13,11 +14,11 @@
 
 enum ReadState_ : int
 {
-    ReadState_Begin,   // Nothing of the request has come.
-    ReadState_Headers, // Part of the headers has come.
-    ReadState_Body,    // The headers have come, and the body not yet.
-    ReadState_Whole,   // The request has come.
-    ReadState_Refused, // It will not be read; what follows on the connection can't be told from it. See Status and Code.
+    ReadState_Begin,   // No byte of the request has arrived.
+    ReadState_Headers, // The headers are incomplete.
+    ReadState_Body,    // The headers are complete, the body is not.
+    ReadState_Whole,   // The request is complete.
+    ReadState_Refused, // The request is rejected, see Status and Code. Its end is unknown, so the connection can't be used further.
     ReadState_COUNT,
 };
 
@@ -26,21 +27,21 @@
     std::string Method;           // As sent.
     std::string Target;           // Path and query, as sent.
     std::vector<Header> Headers;  // As sent, in order.
-    std::string Body;             // Whole, without chunks.
-    bool KeepsConnection = false; // The caller expects to send more requests on this connection.
+    std::string Body;             // Complete, with chunks joined.
+    bool KeepsConnection = false; // The connection stays open after this request (keep-alive).
 };
 
-struct RequestParser; // Boost.Beast's part.
+struct RequestParser; // Wraps Boost.Beast's parser.
 
 struct RequestReader
 {
     ReadState_ State = ReadState_Begin;
-    CallerRequest Request;                 // Complete when Whole; without its body from Body on.
-    bool WantsContinue = false;            // In Body: the caller sends the body once it has been told to.
-    int Status = 0;                        // When Refused: the answer,
-    Code_ Code = Code_None;                // and its code.
-    CallerLimits Limits;                   //
-    std::unique_ptr<RequestParser> Parser; // Null while nothing has come: idle connections hold no memory for it.
+    CallerRequest Request;                 // Complete in ReadState_Whole; in ReadState_Body without its body.
+    bool WantsContinue = false;            // In ReadState_Body: the caller sent "Expect: 100-continue".
+    int Status = 0;                        // In ReadState_Refused: HTTP status of the answer.
+    Code_ Code = Code_None;                // In ReadState_Refused: error code of the answer.
+    CallerLimits Limits;                   // Set by RequestReaderBegin().
+    std::unique_ptr<RequestParser> Parser; // Null in ReadState_Begin, so that idle connections need no memory for it.
 
     RequestReader();
     ~RequestReader();
@@ -48,10 +49,11 @@
     RequestReader& operator=(const RequestReader&) = delete;
 };
 
-// Forgets what was read; the next byte begins a request.
+// Resets the reader; the next byte starts a request.
 void RequestReaderBegin(RequestReader* reader, const CallerLimits& limits);
 
-// Takes what belongs to the request off the front of `bytes`, and returns the state. In Whole and Refused it takes nothing.
+// Parses the request from the front of `bytes`, removes what it consumed, and returns the state. Consumes nothing in ReadState_Whole and
+// ReadState_Refused.
 ReadState_ RequestReaderFeed(RequestReader* reader, std::string* bytes);
 
 } // namespace Winchlink
