--- a/gateway/settings.cpp
+++ b/gateway/settings.cpp
@@ -13,12 +13,12 @@
 namespace Winchlink
 {
 
-static constexpr int EndsMostMost = 64; // More are not remembered of one request.
+static constexpr int EndsMostMost = 64; // The quarantine records at most this many crashes of a request.
 static constexpr int DescriptorsMost = 1000000;
-static constexpr int DescriptorsKept = 300; // For files (200, says the platform), the store, peers, and connections to targets.
+static constexpr int DescriptorsKept = 300; // Reserved for files, the store, peers and targets.
 static constexpr double SecondsMost = 3600;
 static constexpr int PortMost = 65535;
-static constexpr TimeUs QuotaWindowLeastUs = UsPerSecond; // Shorter ones are over before instances have heard of each other.
+static constexpr TimeUs QuotaWindowLeastUs = UsPerSecond; // Instances need time to exchange their counts.
 static constexpr double QuotaSlackMost = 1e6;
 
 static void ReadSeconds(ObjectReader* r, const char* key, TimeUs* out)
@@ -86,7 +86,7 @@
     ReadSeconds(r, "quotaWindowS", &out->QuotaWindowUs);
     if (out->QuotaWindowUs < QuotaWindowLeastUs)
     {
-        AddFault(*r, r->Codes.OutOfRange, "quotaWindowS", "expected at least a second");
+        AddFault(*r, r->Codes.OutOfRange, "quotaWindowS", "expected at least 1 second");
     }
     ReadRealBetween(r, "quotaOverage", false, 0, 1, &out->QuotaOverage);
     ReadRealBetween(r, "quotaSlack", false, 0, QuotaSlackMost, &out->QuotaSlack);
--- a/gateway/settings.h
+++ b/gateway/settings.h
@@ -1,7 +1,7 @@
 // settings.h: the settings of one instance, from a JSON file.
 //
-// docs/OPERATORS.md and examples/settings.json describe each key. On a platform, the file is made from a template (deploy/settings.json).
-// All faults of a file are reported at once.
+// docs/OPERATORS.md and examples/settings.json describe each key; deploy/settings.json is a template for deployments. All faults of a file
+// are reported together.
 
 #pragma once
 
@@ -12,39 +12,39 @@
 
 struct Settings
 {
-    std::string Instance;                     // Name in logs.
-    std::string DataCentre;                   // Own data centre.
-    std::string CallerAddress;                // IP:port where callers connect.
-    std::string ReadyAddress;                 // IP:port where the balancer in front asks whether we serve.
-    std::string MetricsAddress;               // IP:port of the operators' pages; empty: none.
+    std::string Instance;                     // Name of the instance in logs and request ids.
+    std::string DataCentre;                   // Data centre of the instance.
+    std::string CallerAddress;                // IP:port for callers.
+    std::string ReadyAddress;                 // IP:port for readiness checks of the balancer in front.
+    std::string MetricsAddress;               // IP:port of the metrics and status pages; empty: none.
     std::string PeerAddress;                  // IP:port for other instances; empty: none.
-    std::string StoreAddress;                 // IP:port of the store of routes and targets, or of the table.
-    std::vector<std::string> Peers;           // Peer addresses to try first; may be stale.
-    int ConnectionsMost = 1024;               // Callers' connections.
-    TimeUs GraceUs = 6 * UsPerSecond;         // From the stop signal to the kill.
-    TimeUs RepeatWindowUs = 10 * UsPerSecond; // Window of the repeat budget.
-    double RepeatShare = 0.2;                 // Repeated sends as a share of a service's requests in a window.
-    int EndsMost = 3;                         // A request is held once so many targets have ended under it.
-    TimeUs HoldUs = 600 * UsPerSecond;        // For so long, the first time.
+    std::string StoreAddress;                 // IP:port of the platform's store or of the table service.
+    std::vector<std::string> Peers;           // Peer addresses of the seeds; some may be out of date.
+    int ConnectionsMost = 1024;               // Maximum open connections of callers.
+    TimeUs GraceUs = 6 * UsPerSecond;         // Time from the stop signal until the process is killed.
+    TimeUs RepeatWindowUs = 10 * UsPerSecond; // Window of the retry budget.
+    double RepeatShare = 0.2;                 // Retries as a share of a service's requests in a window.
+    int EndsMost = 3;                         // A request is quarantined once it has crashed this many targets.
+    TimeUs HoldUs = 600 * UsPerSecond;        // Duration of a request's first quarantine.
     int DatagramPort = 0;                     // Port for datagrams between instances, on the IP of PeerAddress; the same for all; 0: none.
-    TimeUs QuotaWindowUs = 5 * UsPerSecond;   // Over which customers' quotas are counted.
-    double QuotaOverage = 0.25;               // In a window a customer may pass its quota by this part of it,
-    double QuotaSlack = 20;                   // and by so many requests more.
-    LogLevel_ Level = LogLevel_Info;          // Least level of log lines.
+    TimeUs QuotaWindowUs = 5 * UsPerSecond;   // Window in which customers' requests are counted.
+    double QuotaOverage = 0.25;               // Share of its quota by which a customer may exceed it in a window.
+    double QuotaSlack = 20;                   // Requests by which a customer may exceed its quota in a window, in addition.
+    LogLevel_ Level = LogLevel_Info;          // Minimum level of log lines.
 };
 
 struct CheckedSettings
 {
-    Settings Value;            // Meaningful only when Faults is empty.
-    std::vector<Fault> Faults; // All faults.
+    Settings Value; // Meaningful only when Faults is empty.
+    std::vector<Fault> Faults;
 };
 
 CheckedSettings ParseSettings(const std::string& json);
 
-// The whole file, or Code_SettingsUnreadable.
+// The contents of a file, or Code_SettingsUnreadable.
 Result<std::string> ReadFile(const std::string& path);
 
-// Reads and checks a settings file; a file that can't be read is a fault as well.
+// Reads and checks a settings file. A file that can't be read is reported as a fault.
 CheckedSettings ReadSettings(const std::string& path);
 
 } // namespace Winchlink
