--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The commands of the README. Each installs what it needs by itself.
+# Build, test and bench commands; see README.md. Each command installs its own dependencies.
 
 JOBS ?= $(shell nproc)
 
