--- a/gateway/caller_connection.cpp
+++ b/gateway/caller_connection.cpp
@@ -31,8 +31,8 @@
 
 static constexpr int StatusGone = 499;          // Recorded for a request whose caller has disconnected; never sent.
 static constexpr size_t ReadAtOnce = 16 * KiB;  // Size of the read buffer, in bytes.
-static constexpr int ReadsInRow = 4;            // Reads of one socket per event, so that other sockets are served too.
-static constexpr size_t OutputMost = 256 * KiB; // No further request is read while more unsent bytes than this are buffered.
+static constexpr int ReadsPerEvent = 4;         // Reads of one socket per event, so that other sockets are served too.
+static constexpr size_t OutputMax = 256 * KiB;  // No further request is read while more unsent bytes than this are buffered.
 static constexpr TimeUs LingerUs = UsPerSecond; // How long input is read and discarded after the last answer.
 
 static CallerConnection* Find(Listener* listener, uint64_t id)
@@ -46,7 +46,7 @@
 //-----------------------------------------------------------------------------
 
 // Tells the handler that the caller has disconnected.
-static void TellGone(const ExchangePtr& exchange)
+static void NotifyGone(const ExchangePtr& exchange)
 {
     const std::function<void()> gone = std::move(exchange->OnGone); // Moved out, as the call may Reply(), which clears OnGone.
     if (gone)
@@ -59,7 +59,7 @@
     }
 }
 
-void ConnectionEnd(Listener* listener, uint64_t id)
+void ConnectionClose(Listener* listener, uint64_t id)
 {
     const auto found = listener->Open.find(id);
     assert(found != listener->Open.end() && "the connection is closed already");
@@ -69,19 +69,19 @@
     close(connection->Socket);
     for (const ExchangePtr& exchange : connection->Requests)
     {
-        if (exchange->Begun && !exchange->Answer)
+        if (exchange->Started && !exchange->Answer)
         {
-            TellGone(exchange);
+            NotifyGone(exchange);
         }
     }
 }
 
-static void Touch(CallerConnection* connection, Listener* listener)
+static void QueueForServe(CallerConnection* connection, Listener* listener)
 {
-    if (!connection->Touched)
+    if (!connection->InServeQueue)
     {
-        connection->Touched = true;
-        listener->Touched.push_back(connection->Id);
+        connection->InServeQueue = true;
+        listener->ServeQueue.push_back(connection->Id);
     }
 }
 
@@ -93,8 +93,8 @@
     CallerConnection* connection = Find(exchange->Owner, exchange->Connection);
     if (connection != nullptr)
     {
-        connection->Last = connection->Last || exchange->Answer->CloseConnection;
-        Touch(connection, exchange->Owner);
+        connection->Closing = connection->Closing || exchange->Answer->CloseConnection;
+        QueueForServe(connection, exchange->Owner);
     }
 }
 
@@ -136,8 +136,8 @@
     {
         const ExchangePtr exchange = requests.front();
         requests.pop_front();
-        const bool last_begun = requests.empty() || !requests.front()->Begun;
-        const bool closes = connection->Last && last_begun;
+        const bool last_started = requests.empty() || !requests.front()->Started;
+        const bool closes = connection->Closing && last_started;
         WriteAnswer(connection, *exchange, closes);
         if (closes)
         {
@@ -154,11 +154,11 @@
 static bool MayRead(const Listener& listener, const CallerConnection& connection)
 {
     const std::deque<ExchangePtr>& requests = connection.Requests;
-    if (connection.Last || connection.Output.size() - connection.Written > OutputMost)
+    if (connection.Closing || connection.Output.size() - connection.Written > OutputMax)
     {
         return false;
     }
-    return requests.empty() || (requests.back()->Begun && requests.back()->Overlaps && requests.size() < listener.Config.OverlapMost);
+    return requests.empty() || (requests.back()->Started && requests.back()->CanOverlap && requests.size() < listener.Config.OverlapMost);
 }
 
 static void AddRequest(Listener* listener, CallerConnection* connection)
@@ -172,7 +172,7 @@
     exchange->ArrivedUs = connection->ReadUs;
     exchange->Owner = listener;
     exchange->Connection = connection->Id;
-    exchange->Overlaps = exchange->Body.empty() && listener->Config.MayOverlap && listener->Config.MayOverlap(*exchange);
+    exchange->CanOverlap = exchange->Body.empty() && listener->Config.MayOverlap && listener->Config.MayOverlap(*exchange);
     exchange->EndsConnection = !request.KeepsConnection;
     connection->Requests.push_back(exchange);
     RequestReaderBegin(&connection->Reader, listener->Config.Limits);
@@ -185,34 +185,34 @@
     const std::string code = std::to_string(static_cast<int>(reader.Code));
     Log(LogLevel_Info, reader.Code, "request refused unread", {{"target", reader.Request.Target}, {"status", reader.Status}});
     const auto exchange = std::make_shared<Exchange>();
-    exchange->Begun = true;
+    exchange->Started = true;
     exchange->Answer = CallerReply{reader.Status, {{HeaderCode, code}}, "", true};
     exchange->Owner = listener;
     connection->Requests.push_back(exchange);
-    connection->Last = true;
+    connection->Closing = true;
     connection->Input.clear();
 }
 
 // The headers were not complete in time: closes the connection once the started requests have been answered.
-static void OnHeadersLate(Listener* listener, uint64_t id)
+static void OnHeaderTimeout(Listener* listener, uint64_t id)
 {
     CallerConnection* connection = Find(listener, id);
-    connection->HeadersLate = nullptr;
+    connection->HeaderTimeout = nullptr;
     Log(LogLevel_Info, Code_None, "headers came too slowly", {{"inProgress", static_cast<int>(connection->Requests.size())}});
-    connection->Last = true;
+    connection->Closing = true;
     ConnectionServe(listener, id);
 }
 
-static void WatchHeaders(Listener* listener, CallerConnection* connection)
+static void UpdateHeaderTimeout(Listener* listener, CallerConnection* connection)
 {
     if (connection->Reader.State != ReadState_Headers)
     {
-        connection->HeadersLate = nullptr;
+        connection->HeaderTimeout = nullptr;
     }
-    else if (!connection->HeadersLate)
+    else if (!connection->HeaderTimeout)
     {
-        connection->HeadersLate = TimerStart(listener->Loop, listener->Config.Limits.HeaderTimeoutUs,
-                                             [listener, id = connection->Id]() { OnHeadersLate(listener, id); });
+        connection->HeaderTimeout = TimerStart(listener->Loop, listener->Config.Limits.HeaderTimeoutUs,
+                                               [listener, id = connection->Id]() { OnHeaderTimeout(listener, id); });
     }
 }
 
@@ -228,7 +228,7 @@
         RequestReaderBegin(&connection->Reader, listener->Config.Limits); // The limits may have changed since the last request.
     }
     const ReadState_ state = RequestReaderFeed(&connection->Reader, &connection->Input);
-    WatchHeaders(listener, connection);
+    UpdateHeaderTimeout(listener, connection);
     if (state == ReadState_Body && connection->Reader.WantsContinue && connection->Requests.empty())
     {
         connection->Output += "HTTP/1.1 100 Continue\r\n\r\n";
@@ -246,20 +246,20 @@
 }
 
 // Passes the latest request to the handler if it may start now. False if there is none to start.
-static bool BeginLatest(Listener* listener, CallerConnection* connection)
+static bool StartLatest(Listener* listener, CallerConnection* connection)
 {
-    if (connection->Requests.empty() || connection->Requests.back()->Begun)
+    if (connection->Requests.empty() || connection->Requests.back()->Started)
     {
         return false;
     }
     const ExchangePtr latest = connection->Requests.back();
     const bool alone = connection->Requests.size() == 1;
-    if (!alone && !latest->Overlaps)
+    if (!alone && !latest->CanOverlap)
     {
         return false;
     }
-    latest->Begun = true;
-    connection->Last = connection->Last || latest->EndsConnection;
+    latest->Started = true;
+    connection->Closing = connection->Closing || latest->EndsConnection;
     listener->Overlapped += alone ? 0 : 1;
     listener->Handler(latest);
     return true;
@@ -273,7 +273,7 @@
 static bool Read(CallerConnection* connection, bool drop)
 {
     std::array<char, ReadAtOnce> buffer;
-    for (int n = 0; n < ReadsInRow; n++)
+    for (int n = 0; n < ReadsPerEvent; n++)
     {
         const ssize_t got = recv(connection->Socket, buffer.data(), buffer.size(), MSG_DONTWAIT);
         if (got <= 0)
@@ -315,11 +315,11 @@
 static void Linger(Listener* listener, CallerConnection* connection)
 {
     shutdown(connection->Socket, SHUT_WR);
-    connection->HeadersLate = nullptr;
-    connection->Lingering = TimerStart(listener->Loop, LingerUs, [listener, id = connection->Id]() { ConnectionEnd(listener, id); });
+    connection->HeaderTimeout = nullptr;
+    connection->Lingering = TimerStart(listener->Loop, LingerUs, [listener, id = connection->Id]() { ConnectionClose(listener, id); });
 }
 
-static void WatchAnew(const Listener& listener, CallerConnection* connection)
+static void UpdateWatch(const Listener& listener, CallerConnection* connection)
 {
     const bool reads = connection->Lingering || MayRead(listener, *connection);
     const int wanted = UV_DISCONNECT | (reads ? UV_READABLE : 0) | (connection->Output.empty() ? 0 : UV_WRITABLE);
@@ -336,18 +336,18 @@
     do
     {
         WriteAnswers(connection);
-    } while (BeginLatest(listener, connection) || ReadNext(listener, connection));
+    } while (StartLatest(listener, connection) || ReadNext(listener, connection));
     if (!Write(connection))
     {
-        ConnectionEnd(listener, id);
+        ConnectionClose(listener, id);
         return;
     }
-    const bool over = connection->Last && connection->Output.empty() && connection->Requests.empty();
+    const bool over = connection->Closing && connection->Output.empty() && connection->Requests.empty();
     if (over && !connection->Lingering)
     {
         Linger(listener, connection);
     }
-    WatchAnew(*listener, connection);
+    UpdateWatch(*listener, connection);
 }
 
 static void OnEvents(Listener* listener, uint64_t id, int events)
@@ -356,7 +356,7 @@
     const bool left = (events & UV_DISCONNECT) != 0;
     if (left || ((events & UV_READABLE) != 0 && !Read(connection, connection->Lingering != nullptr)))
     {
-        ConnectionEnd(listener, id);
+        ConnectionClose(listener, id);
         return;
     }
     ConnectionServe(listener, id);
@@ -366,7 +366,7 @@
 // [SECTION] Start
 //-----------------------------------------------------------------------------
 
-void ConnectionBegin(Listener* listener, int socket)
+void ConnectionOpen(Listener* listener, int socket)
 {
     const int on = 1;
     setsockopt(socket, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
@@ -382,10 +382,10 @@
     listener->Open[id] = std::move(connection);
 }
 
-bool ConnectionRested(const CallerConnection& connection, TimeUs limit, TimeUs now)
+bool ConnectionIsIdle(const CallerConnection& connection, TimeUs limit, TimeUs now)
 {
-    const bool we_work = !connection.Requests.empty() && connection.Output.empty();
-    return !we_work && now > connection.ActiveUs + limit;
+    const bool handlers_run = !connection.Requests.empty() && connection.Output.empty();
+    return !handlers_run && now > connection.ActiveUs + limit;
 }
 
 static bool WaitsForNext(const CallerConnection& connection)
@@ -394,7 +394,7 @@
     return nothing_read && connection.Requests.empty() && connection.Output.empty() && !connection.Lingering;
 }
 
-void ConnectionEndIfIdle(Listener* listener, uint64_t id)
+void ConnectionCloseIfIdle(Listener* listener, uint64_t id)
 {
     CallerConnection* connection = Find(listener, id);
     assert(connection != nullptr && "the connection must be open");
@@ -404,7 +404,7 @@
     }
     if (!Read(connection, false) || WaitsForNext(*connection))
     {
-        ConnectionEnd(listener, id);
+        ConnectionClose(listener, id);
         return;
     }
     ConnectionServe(listener, id); // A request had arrived after all.
--- a/gateway/gateway.cpp
+++ b/gateway/gateway.cpp
@@ -25,10 +25,10 @@
 
 static constexpr TimeUs TickUs = 500 * UsPerMs;    // Interval of periodic work, such as the check of the settings file.
 static constexpr TimeUs StopStepUs = 50 * UsPerMs; // Interval at which a stopping instance checks whether all connections are closed.
-static constexpr TimeUs StillAcceptUs =
+static constexpr TimeUs KeepAcceptingUs =
     3 * UsPerSecond; // After the stop signal; the balancer in front needs two failed readiness checks, a second each.
-static constexpr TimeUs QuietUs = 200 * UsPerMs;      // Time for handshakes in progress to complete once new connections are ignored.
-static constexpr TimeUs StopMarginUs = 300 * UsPerMs; // The instance exits this long before the end of the grace time.
+static constexpr TimeUs PendingConnectUs = 200 * UsPerMs; // Time for handshakes in progress to complete once new connections are ignored.
+static constexpr TimeUs StopMarginUs = 300 * UsPerMs;     // The instance exits this long before the end of the grace time.
 
 //-----------------------------------------------------------------------------
 // [SECTION] Following the store
@@ -40,7 +40,7 @@
     const Settings& settings = gateway->Config;
     const GatewayTiming& timing = gateway->Timing;
     StoreReader& reader = gateway->Store;
-    const TimeUs wait = settings.Peers.empty() ? timing.LoneWaitUs : timing.StoreWaitUs;
+    const TimeUs wait = settings.Peers.empty() ? timing.UnfollowedWaitUs : timing.StoreWaitUs;
     reader.FromStore = {gateway->Platform.Dialect, wait, timing.StoreMarginUs, timing.StoreGatherUs, timing.StoreReadUs,
                         timing.StoreConnectUs};
     FollowSetSources(&reader.Following, settings.PeerAddress, settings.StoreAddress, settings.Peers, &gateway->Rng);
@@ -140,36 +140,36 @@
     return gateway.Store.Following.Next.Kind == SourceKind_Store;
 }
 
-static void StartTargetEnds(Gateway* gateway)
+static void StartCrashExchange(Gateway* gateway)
 {
-    TargetEnds& ends = gateway->Ends;
-    ends.Loop = gateway->Loop;
-    ends.Calls = &gateway->Control;
-    ends.Known = &gateway->Requests.Held;
-    ends.Others = [gateway]()
+    TargetEnds& crashes = gateway->Ends;
+    crashes.Loop = gateway->Loop;
+    crashes.Calls = &gateway->Control;
+    crashes.Known = &gateway->Requests.Held;
+    crashes.Others = [gateway]()
     {
         const Follow& following = gateway->Store.Following;
         return ReadsStore(*gateway) ? following.Contacts : std::vector<std::string>{following.Next.Address};
     };
-    ends.OnTell = [gateway]()
+    crashes.OnTell = [gateway]()
     {
         RelayTell(&gateway->Peers);
     };
-    gateway->Requests.OnTargetEnd = [&ends]()
+    gateway->Requests.OnTargetEnd = [&crashes]()
     {
-        TargetEndsChanged(&ends);
+        TargetEndsChanged(&crashes);
     };
-    gateway->Store.OnEndsDigest = [&ends](uint64_t digest)
+    gateway->Store.OnEndsDigest = [&crashes](uint64_t digest)
     {
-        TargetEndsHeard(&ends, digest);
+        TargetEndsHeard(&crashes, digest);
     };
-    gateway->Peers.EndsDigest = [&ends]()
+    gateway->Peers.EndsDigest = [&crashes]()
     {
-        return ends.Known->Digest;
+        return crashes.Known->Digest;
     };
-    gateway->Peers.OnEnds = [&ends](const std::string& bytes)
+    gateway->Peers.OnEnds = [&crashes](const std::string& bytes)
     {
-        return TargetEndsTold(&ends, bytes);
+        return TargetEndsTold(&crashes, bytes);
     };
 }
 
@@ -316,11 +316,11 @@
 }
 
 // Closes idle connections, and ends the loop once all are closed or the grace time is nearly over.
-static void EndWhenEmpty(Gateway* gateway)
+static void StopWhenIdle(Gateway* gateway)
 {
     ListenerCloseIdle(&gateway->Callers);
     const TimeUs since = NowUs() - gateway->StopUs;
-    const bool quiet = since > StillAcceptUs + QuietUs;
+    const bool quiet = since > KeepAcceptingUs + PendingConnectUs;
     if (quiet)
     {
         ListenerCloseSocket(&gateway->Callers);
@@ -331,13 +331,13 @@
         EndLoop(gateway);
         return;
     }
-    gateway->Stopping = TimerStart(gateway->Loop, StopStepUs, [gateway]() { EndWhenEmpty(gateway); });
+    gateway->StopTimer = TimerStart(gateway->Loop, StopStepUs, [gateway]() { StopWhenIdle(gateway); });
 }
 
-static void ShutOut(Gateway* gateway)
+static void StopAccepting(Gateway* gateway)
 {
     ListenerIgnoreNew(&gateway->Callers); // New connections would otherwise delay the exit until the grace time ends.
-    EndWhenEmpty(gateway);
+    StopWhenIdle(gateway);
 }
 
 void GatewayStop(Gateway* gateway)
@@ -350,8 +350,8 @@
     gateway->StopUs = NowUs();
     gateway->Requests.Leaving = true;
     Log(LogLevel_Info, Code_None, "stopping", {{"inProgress", gateway->Requests.InProgress}});
-    const TimeUs serve_on = std::min(StillAcceptUs, gateway->Config.GraceUs - StopMarginUs);
-    gateway->Stopping = TimerStart(gateway->Loop, serve_on, [gateway]() { ShutOut(gateway); });
+    const TimeUs serve_on = std::min(KeepAcceptingUs, gateway->Config.GraceUs - StopMarginUs);
+    gateway->StopTimer = TimerStart(gateway->Loop, serve_on, [gateway]() { StopAccepting(gateway); });
 }
 
 //-----------------------------------------------------------------------------
@@ -420,7 +420,7 @@
     {
         TargetEndsCompare(&gateway->Ends);
     }
-    gateway->Second = TimerStart(gateway->Loop, TickUs, [gateway]() { Tick(gateway); });
+    gateway->TickTimer = TimerStart(gateway->Loop, TickUs, [gateway]() { Tick(gateway); });
 }
 
 void GatewayWatchSignals(Gateway* gateway)
@@ -481,12 +481,12 @@
     {
         return quotas.error();
     }
-    loop->OnSuspended = [gateway](TimeUs slept)
+    loop->OnSuspended = [gateway](TimeUs suspended)
     {
-        gateway->SuspendedUs += slept;
-        Log(LogLevel_Warn, Code_None, "was suspended", {{"forUs", slept}});
+        gateway->SuspendedUs += suspended;
+        Log(LogLevel_Warn, Code_None, "was suspended", {{"forUs", suspended}});
     };
-    StartTargetEnds(gateway);
+    StartCrashExchange(gateway);
     StartStore(gateway);
     Tick(gateway);
     return BOOST_OUTCOME_V2_NAMESPACE::success();
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -17,17 +17,17 @@
 // Long-poll times and timeouts of the calls to the sources of updates: the store and other instances (peers).
 struct GatewayTiming
 {
-    TimeUs StoreWaitUs = 800 * UsPerMs;    // Long poll at the store; short enough that followers learn of its loss within 2 s.
-    TimeUs LoneWaitUs = 2 * UsPerSecond;   // The same without peers: no instance follows this one, and longer polls mean fewer calls.
-    TimeUs StoreMarginUs = 350 * UsPerMs;  // Added to the long poll of the store for the timeout of the call.
-    TimeUs StoreGatherUs = 300 * UsPerMs;  // Pause after changes from the store, so that several arrive in one call.
-    TimeUs PeerWaitUs = 950 * UsPerMs;     // Long poll at a peer; slightly longer than the interval of its heartbeats.
-    TimeUs PeerMarginUs = 250 * UsPerMs;   // Added to the long poll of a peer for the timeout of the call.
-    TimeUs StoreReadUs = 1500 * UsPerMs;   // Timeout of reading a page of the store.
-    TimeUs PeerReadUs = 1200 * UsPerMs;    // Timeout of reading all items from a peer, which may delay its answer by half a second.
-    TimeUs StoreConnectUs = 250 * UsPerMs; // Timeout of connecting to the store.
-    TimeUs PeerConnectUs = 100 * UsPerMs;  // Timeout of connecting to a peer; short, as there are other sources to try.
-    TimeUs ApplyUs = UsPerMs;              // Delay before updates are parsed and applied, so that they are sent to followers first.
+    TimeUs StoreWaitUs = 800 * UsPerMs;        // Long poll at the store; short enough that followers learn of its loss within 2 s.
+    TimeUs UnfollowedWaitUs = 2 * UsPerSecond; // The same without peers: no instance follows this one, and longer polls mean fewer calls.
+    TimeUs StoreMarginUs = 350 * UsPerMs;      // Added to the long poll of the store for the timeout of the call.
+    TimeUs StoreGatherUs = 300 * UsPerMs;      // Pause after changes from the store, so that several arrive in one call.
+    TimeUs PeerWaitUs = 950 * UsPerMs;         // Long poll at a peer; slightly longer than the interval of its heartbeats.
+    TimeUs PeerMarginUs = 250 * UsPerMs;       // Added to the long poll of a peer for the timeout of the call.
+    TimeUs StoreReadUs = 1500 * UsPerMs;       // Timeout of reading a page of the store.
+    TimeUs PeerReadUs = 1200 * UsPerMs;        // Timeout of reading all items from a peer, which may delay its answer by half a second.
+    TimeUs StoreConnectUs = 250 * UsPerMs;     // Timeout of connecting to the store.
+    TimeUs PeerConnectUs = 100 * UsPerMs;      // Timeout of connecting to a peer; short, as there are other sources to try.
+    TimeUs ApplyUs = UsPerMs;                  // Delay before updates are parsed and applied, so that they are sent to followers first.
 };
 
 // Items received from a source and not parsed yet.
@@ -57,11 +57,11 @@
     Listener Readiness;
     Listener Metrics;
     std::vector<SignalWatch> Signals;
-    Timer Second;                               // Next periodic work, such as the check of the settings file.
+    Timer TickTimer;                            // Next periodic work, such as the check of the settings file.
     std::vector<StoreBatch> Unread;             // Batches sent to followers and not applied here yet, in order.
     Timer Reading;                              // Applies the batches in Unread.
     Timer Forgetting;                           // Removes the next missing target whose retention is over.
-    Timer Stopping;                             // Next step of a planned stop.
+    Timer StopTimer;                            // Next step of a planned stop.
     TimeUs StartedUs = 0;                       // Time of GatewayStart().
     TimeUs PlanUs = 0;                          // Time when the current plan was applied; 0 if there is none.
     std::map<std::string, std::string> Invalid; // Reasons why items of the store are invalid, by key.
--- a/gateway/listener.cpp
+++ b/gateway/listener.cpp
@@ -23,7 +23,7 @@
 static constexpr TimeUs IdleGraceUs = 2 * UsPerSecond; // Added to the idle timeout, so that callers close first.
 static constexpr TimeUs AcceptPauseUs = 100 * UsPerMs; // Pause after an error of accept(), such as a lack of descriptors.
 static constexpr int ListenBacklog = 512;              // Maximum length of the accept queue.
-static constexpr int AcceptsInRow = 64;                // Connections accepted per event, so that open ones are served too.
+static constexpr int AcceptsPerEvent = 64;             // Connections accepted per event, so that open ones are served too.
 
 //-----------------------------------------------------------------------------
 // [SECTION] Accepting
@@ -32,17 +32,17 @@
 static void PauseAccepting(Listener* listener)
 {
     Log(LogLevel_Warn, Code_None, "connections can't be accepted", {{"errno", errno}, {"open", static_cast<int>(listener->Open.size())}});
-    WatchChange(listener->Ready.get(), 0);
-    listener->Pause = TimerStart(listener->Loop, AcceptPauseUs,
-                                 [listener]()
-                                 {
-                                     listener->Pause = nullptr;
-                                     WatchChange(listener->Ready.get(), UV_READABLE);
-                                 });
+    WatchChange(listener->AcceptWatch.get(), 0);
+    listener->AcceptPause = TimerStart(listener->Loop, AcceptPauseUs,
+                                       [listener]()
+                                       {
+                                           listener->AcceptPause = nullptr;
+                                           WatchChange(listener->AcceptWatch.get(), UV_READABLE);
+                                       });
 }
 
 // Serves an accepted connection, or closes it if there are too many.
-static void TakeSocket(Listener* listener, int socket)
+static void OnAccepted(Listener* listener, int socket)
 {
     if (listener->Open.size() >= static_cast<size_t>(listener->Config.ConnectionsMost))
     {
@@ -50,26 +50,26 @@
         close(socket);
         return;
     }
-    ConnectionBegin(listener, socket);
+    ConnectionOpen(listener, socket);
 }
 
 // Accepts a bounded number of queued connections. True if more may be queued.
-static bool AcceptSome(Listener* listener)
+static bool AcceptBatch(Listener* listener)
 {
-    for (int n = 0; n < AcceptsInRow; n++)
+    for (int n = 0; n < AcceptsPerEvent; n++)
     {
         const int socket = accept4(listener->Socket, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
         if (socket < 0)
         {
-            const bool none_left = errno == EAGAIN;
-            const bool it_left = errno == ECONNABORTED || errno == EINTR;
-            if (!none_left && !it_left)
+            const bool queue_empty = errno == EAGAIN;
+            const bool can_retry = errno == ECONNABORTED || errno == EINTR;
+            if (!queue_empty && !can_retry)
             {
                 PauseAccepting(listener);
             }
-            return it_left;
+            return can_retry;
         }
-        TakeSocket(listener, socket);
+        OnAccepted(listener, socket);
     }
     return true;
 }
@@ -88,16 +88,16 @@
     return ids;
 }
 
-static void ServeTouched(Listener* listener)
+static void ServeQueued(Listener* listener)
 {
-    const std::vector<uint64_t> touched = std::move(listener->Touched);
-    listener->Touched.clear();
-    for (const uint64_t id : touched)
+    const std::vector<uint64_t> queued = std::move(listener->ServeQueue);
+    listener->ServeQueue.clear();
+    for (const uint64_t id : queued)
     {
         const auto found = listener->Open.find(id);
         if (found != listener->Open.end())
         {
-            found->second->Touched = false;
+            found->second->InServeQueue = false;
             ConnectionServe(listener, id);
         }
     }
@@ -106,9 +106,9 @@
 // Loop hook: writes the answers given since the last wait. Serving a connection may produce further answers.
 static void BeforeWait(Listener* listener)
 {
-    while (!listener->Touched.empty())
+    while (!listener->ServeQueue.empty())
     {
-        ServeTouched(listener);
+        ServeQueued(listener);
     }
 }
 
@@ -119,9 +119,9 @@
     for (const uint64_t id : OpenIds(*listener))
     {
         const auto found = listener->Open.find(id);
-        if (found != listener->Open.end() && ConnectionRested(*found->second, limit, now))
+        if (found != listener->Open.end() && ConnectionIsIdle(*found->second, limit, now))
         {
-            ConnectionEnd(listener, id);
+            ConnectionClose(listener, id);
         }
     }
     listener->IdleCheck = TimerStart(listener->Loop, IdleCheckUs, [listener]() { CheckIdle(listener); });
@@ -133,7 +133,7 @@
     {
         if (listener->Open.count(id) > 0)
         {
-            ConnectionEndIfIdle(listener, id);
+            ConnectionCloseIfIdle(listener, id);
         }
     }
 }
@@ -158,16 +158,16 @@
     {
         return Error{Code_ListenFailed, config.Address};
     }
-    listener->Ready = WatchStart(loop, listener->Socket, UV_READABLE, [listener](int) { AcceptSome(listener); });
-    listener->Hook = LoopBeforeWait(loop, [listener]() { BeforeWait(listener); });
+    listener->AcceptWatch = WatchStart(loop, listener->Socket, UV_READABLE, [listener](int) { AcceptBatch(listener); });
+    listener->Hook = LoopAddHook(loop, [listener]() { BeforeWait(listener); });
     CheckIdle(listener);
     return BOOST_OUTCOME_V2_NAMESPACE::success();
 }
 
-static void EndListening(Listener* listener)
+static void CloseListening(Listener* listener)
 {
-    listener->Pause = nullptr;
-    listener->Ready = nullptr;
+    listener->AcceptPause = nullptr;
+    listener->AcceptWatch = nullptr;
     if (listener->Socket >= 0)
     {
         close(listener->Socket);
@@ -177,23 +177,23 @@
 
 void ListenerCloseSocket(Listener* listener)
 {
-    while (listener->Socket >= 0 && AcceptSome(listener))
+    while (listener->Socket >= 0 && AcceptBatch(listener))
     {
     }
-    EndListening(listener);
+    CloseListening(listener);
 }
 
 void ListenerStop(Listener* listener)
 {
-    EndListening(listener);
+    CloseListening(listener);
     for (const uint64_t id : OpenIds(*listener))
     {
-        ConnectionEnd(listener, id);
+        ConnectionClose(listener, id);
     }
     listener->IdleCheck = nullptr;
     if (listener->Hook != 0)
     {
-        LoopEndBeforeWait(listener->Loop, listener->Hook);
+        LoopRemoveHook(listener->Loop, listener->Hook);
         listener->Hook = 0;
     }
 }
--- a/gateway/listener.h
+++ b/gateway/listener.h
@@ -41,8 +41,8 @@
     Listener* Owner = nullptr;
     uint64_t Connection = 0;           // Id of the connection in Owner->Open.
     std::optional<CallerReply> Answer; // Set by Reply().
-    bool Begun = false;                // The request was passed to the handler.
-    bool Overlaps = false;             // May run concurrently with others of its connection that have this set.
+    bool Started = false;              // The request was passed to the handler.
+    bool CanOverlap = false;           // May run concurrently with others of its connection that have this set.
     bool EndsConnection = false;       // The caller asked to close the connection after this request.
 };
 
@@ -74,10 +74,10 @@
     size_t Written = 0;               // Bytes of Output that were sent.
     TimeUs ReadUs = 0;                // Time when bytes were last received.
     TimeUs ActiveUs = 0;              // Time when bytes were last received or sent.
-    Timer HeadersLate;                // Timeout of the headers; set while they are incomplete.
-    bool Last = false;                // No further request is read; the connection closes after the last answer.
+    Timer HeaderTimeout;              // Timeout of the headers; set while they are incomplete.
+    bool Closing = false;             // No further request is read; the connection closes after the last answer.
     Timer Lingering;                  // Set after the sending side was shut down: input is discarded until it fires.
-    bool Touched = false;             // It is in Listener::Touched.
+    bool InServeQueue = false;        // It is in Listener::ServeQueue.
 };
 
 struct Listener
@@ -86,11 +86,11 @@
     EventLoop* Loop = nullptr;
     ExchangeHandler Handler;
     int Socket = -1;
-    Watch Ready;                                                          // Watches Socket for connections to accept.
-    Timer Pause;                                                          // Set while accepting is paused after an error.
+    Watch AcceptWatch;                                                    // Watches Socket for connections to accept.
+    Timer AcceptPause;                                                    // Set while accepting is paused after an error.
     Timer IdleCheck;                                                      // Next check for idle connections.
     uint64_t Hook = 0;                                                    // Id of the hook in Loop; 0 if none.
-    std::vector<uint64_t> Touched;                                        // Ids of connections to serve before the loop waits.
+    std::vector<uint64_t> ServeQueue;                                     // Ids of connections to serve before the loop waits.
     std::unordered_map<uint64_t, std::unique_ptr<CallerConnection>> Open; // Open connections by id.
     uint64_t LastId = 0;                                                  // Id of the newest connection.
     uint64_t Overlapped = 0;                                              // Counter: requests started while others of their connection ran.
--- a/gateway/loop.cpp
+++ b/gateway/loop.cpp
@@ -35,15 +35,15 @@
     constexpr uint64_t ns_per_us = 1000;
     const uint64_t now = uv_hrtime();
     const uint64_t idle = uv_metrics_idle_time(&loop->Uv);
-    const uint64_t passed = now - loop->StepFromNs;
+    const uint64_t passed = now - loop->StepStartNs;
     const uint64_t waited = idle - loop->IdleNs;
     const auto worked = static_cast<TimeUs>((passed > waited ? passed - waited : 0) / ns_per_us);
-    loop->LongestStepUs = std::max(loop->LongestStepUs, loop->StepFromNs > 0 ? worked : 0);
-    loop->StepFromNs = now;
+    loop->LongestStepUs = std::max(loop->LongestStepUs, loop->StepStartNs > 0 ? worked : 0);
+    loop->StepStartNs = now;
     loop->IdleNs = idle;
 }
 
-static TimeUs TimeAsleep()
+static TimeUs TotalSuspendedUs()
 {
     return ReadClock(CLOCK_BOOTTIME) - ReadClock(CLOCK_MONOTONIC);
 }
@@ -52,32 +52,32 @@
 
 // Advances all timers by the time for which the machine was suspended, as libuv's clock stands still then. Otherwise timeouts would be
 // late by the length of the suspension.
-static void CountSuspension(EventLoop* loop)
+static void AdvanceTimers(EventLoop* loop)
 {
-    constexpr TimeUs least = 20 * UsPerMs; // Smaller differences come from reading the two clocks one after the other.
-    const TimeUs asleep = loop->AsleepUs();
-    const TimeUs slept = asleep - loop->AsleepBeforeUs;
-    if (slept < least)
+    constexpr TimeUs min_suspension = 20 * UsPerMs; // Smaller differences come from reading the two clocks one after the other.
+    const TimeUs total = loop->AsleepUs();
+    const TimeUs suspended = total - loop->AsleepBeforeUs;
+    if (suspended < min_suspension)
     {
         return;
     }
-    loop->AsleepBeforeUs = asleep;
+    loop->AsleepBeforeUs = total;
     if (loop->OnSuspended)
     {
-        loop->OnSuspended(slept);
+        loop->OnSuspended(suspended);
     }
-    const auto slept_ms = static_cast<uint64_t>(slept / UsPerMs);
+    const auto suspended_ms = static_cast<uint64_t>(suspended / UsPerMs);
     for (TimerHandle* timer : loop->Timers)
     {
         const uint64_t left = uv_timer_get_due_in(&timer->Uv);
-        StartTimer(timer, left > slept_ms ? left - slept_ms : 0);
+        StartTimer(timer, left > suspended_ms ? left - suspended_ms : 0);
     }
 }
 
 static void RunHooks(uv_prepare_t* prepare)
 {
     auto* loop = static_cast<EventLoop*>(prepare->data);
-    CountSuspension(loop);
+    AdvanceTimers(loop);
     for (const auto& entry : loop->Hooks)
     {
         entry.second();
@@ -85,7 +85,7 @@
     MeasureStep(loop);
 }
 
-EventLoop::EventLoop() : AsleepUs(TimeAsleep), AsleepBeforeUs(TimeAsleep())
+EventLoop::EventLoop() : AsleepUs(TotalSuspendedUs), AsleepBeforeUs(TotalSuspendedUs())
 {
     const int made = uv_loop_init(&Uv);
     assert(made == 0 && "creating an event loop failed, for example for lack of file descriptors");
@@ -124,13 +124,13 @@
     return done();
 }
 
-uint64_t LoopBeforeWait(EventLoop* loop, std::function<void()> hook)
+uint64_t LoopAddHook(EventLoop* loop, std::function<void()> hook)
 {
     loop->Hooks[++loop->LastHook] = std::move(hook);
     return loop->LastHook;
 }
 
-void LoopEndBeforeWait(EventLoop* loop, uint64_t number)
+void LoopRemoveHook(EventLoop* loop, uint64_t number)
 {
     loop->Hooks.erase(number);
 }
@@ -144,7 +144,7 @@
 // [SECTION] Timers
 //-----------------------------------------------------------------------------
 
-void TimerEnd::operator()(TimerHandle* timer) const
+void TimerDeleter::operator()(TimerHandle* timer) const
 {
     uv_timer_stop(&timer->Uv);
     timer->Owner->Timers.erase(timer);
@@ -187,7 +187,7 @@
     std::function<void(int)> Run;
 };
 
-void WatchEnd::operator()(WatchHandle* watch) const
+void WatchDeleter::operator()(WatchHandle* watch) const
 {
     uv_poll_stop(&watch->Uv);
     CloseAndFree(watch);
@@ -229,7 +229,7 @@
     std::function<void()> Run;
 };
 
-void SignalEnd::operator()(SignalHandle* signal) const
+void SignalDeleter::operator()(SignalHandle* signal) const
 {
     uv_signal_stop(&signal->Uv);
     CloseAndFree(signal);
--- a/gateway/loop.h
+++ b/gateway/loop.h
@@ -30,7 +30,7 @@
     uv_prepare_t Prepare = {};                       // Calls the hooks.
     std::map<uint64_t, std::function<void()>> Hooks; // Called before each wait, by id.
     uint64_t LastHook = 0;                           // Id of the newest hook.
-    uint64_t StepFromNs = 0;                         // Time when the loop last started to wait, by libuv's clock.
+    uint64_t StepStartNs = 0;                        // Time when the loop last started to wait, by libuv's clock.
     uint64_t IdleNs = 0;                             // Total time the loop had waited by then.
     TimeUs LongestStepUs = 0;                        // Longest time spent on callbacks between two waits.
     std::set<struct TimerHandle*> Timers;            // Timers that have not fired.
@@ -51,9 +51,9 @@
 // Runs until `done` returns true or the time limit is over. Returns the last result of `done`.
 bool LoopRunUntil(EventLoop* loop, TimeUs limit, const std::function<bool()>& done);
 
-// Calls `hook` each time before the loop waits, after all ready events have been handled. Returns an id for LoopEndBeforeWait().
-uint64_t LoopBeforeWait(EventLoop* loop, std::function<void()> hook);
-void LoopEndBeforeWait(EventLoop* loop, uint64_t number);
+// Calls `hook` each time before the loop waits, after all ready events have been handled. Returns an id for LoopRemoveHook().
+uint64_t LoopAddHook(EventLoop* loop, std::function<void()> hook);
+void LoopRemoveHook(EventLoop* loop, uint64_t number);
 
 //-----------------------------------------------------------------------------
 // [SECTION] Timers
@@ -61,12 +61,12 @@
 
 struct TimerHandle;
 
-struct TimerEnd
+struct TimerDeleter
 {
     void operator()(TimerHandle* timer) const;
 };
 
-using Timer = std::unique_ptr<TimerHandle, TimerEnd>;
+using Timer = std::unique_ptr<TimerHandle, TimerDeleter>;
 
 // Calls `run` once after `delay`, rounded up to milliseconds. Time for which the machine is suspended counts, although libuv's clock does
 // not advance then: suspensions are detected before each wait, and timers that became due run then.
@@ -78,12 +78,12 @@
 
 struct WatchHandle;
 
-struct WatchEnd
+struct WatchDeleter
 {
     void operator()(WatchHandle* watch) const;
 };
 
-using Watch = std::unique_ptr<WatchHandle, WatchEnd>;
+using Watch = std::unique_ptr<WatchHandle, WatchDeleter>;
 
 // Calls `run` with libuv's events (UV_READABLE, UV_WRITABLE, UV_DISCONNECT) when one of `events` occurs. Destroy the watch before closing
 // the socket.
@@ -98,12 +98,12 @@
 
 struct SignalHandle;
 
-struct SignalEnd
+struct SignalDeleter
 {
     void operator()(SignalHandle* signal) const;
 };
 
-using SignalWatch = std::unique_ptr<SignalHandle, SignalEnd>;
+using SignalWatch = std::unique_ptr<SignalHandle, SignalDeleter>;
 
 // Calls `run` each time the process gets the signal.
 SignalWatch SignalStart(EventLoop* loop, int number, std::function<void()> run);
--- a/gateway/request_reader.cpp
+++ b/gateway/request_reader.cpp
@@ -26,7 +26,7 @@
 namespace http = boost::beast::http;
 
 // Maximum bytes of a chunk's first line, or of all trailers. Beast consumes each only when it is complete, and does not limit its size.
-static constexpr size_t ChunkHeadMost = 64 * KiB;
+static constexpr size_t ChunkHeadMax = 64 * KiB;
 
 struct RequestParser
 {
@@ -49,7 +49,7 @@
     return reader->State;
 }
 
-static Code_ CodeOf(const boost::beast::error_code& error)
+static Code_ CodeForError(const boost::beast::error_code& error)
 {
     if (error == http::error::header_limit)
     {
@@ -102,7 +102,7 @@
     reader->WantsContinue = expects != nullptr && SameHeader(*expects, "100-continue");
 }
 
-static ReadState_ JudgeHeaders(RequestReader* reader)
+static ReadState_ CheckHeaders(RequestReader* reader)
 {
     TakeHeaders(reader);
     if (!IsUnambiguous(*reader->Parser))
@@ -137,7 +137,7 @@
 }
 
 // Feeds bytes to Beast up to the end of the headers or, if these are complete, of the request. Removes the consumed bytes.
-static boost::beast::error_code PutBytes(RequestParser* parser, std::string* bytes)
+static boost::beast::error_code FeedParser(RequestParser* parser, std::string* bytes)
 {
     auto& beast = parser->Beast;
     const bool headers_first = !beast.is_header_done();
@@ -155,7 +155,7 @@
     return error == http::error::need_more ? boost::beast::error_code() : error;
 }
 
-static ReadState_ TakeWhole(RequestReader* reader)
+static ReadState_ FinishRequest(RequestReader* reader)
 {
     reader->Request.Body = std::move(reader->Parser->Beast.get().body());
     reader->Parser = nullptr;
@@ -189,26 +189,26 @@
     }
     if (reader->State == ReadState_Headers)
     {
-        const boost::beast::error_code error = PutBytes(reader->Parser.get(), bytes);
+        const boost::beast::error_code error = FeedParser(reader->Parser.get(), bytes);
         if (error)
         {
-            return Refuse(reader, CodeOf(error));
+            return Refuse(reader, CodeForError(error));
         }
-        if (!reader->Parser->Beast.is_header_done() || JudgeHeaders(reader) == ReadState_Refused)
+        if (!reader->Parser->Beast.is_header_done() || CheckHeaders(reader) == ReadState_Refused)
         {
             return reader->State;
         }
     }
-    const boost::beast::error_code error = PutBytes(reader->Parser.get(), bytes);
+    const boost::beast::error_code error = FeedParser(reader->Parser.get(), bytes);
     if (error)
     {
-        return Refuse(reader, CodeOf(error));
+        return Refuse(reader, CodeForError(error));
     }
     if (reader->Parser->Beast.is_done())
     {
-        return TakeWhole(reader);
+        return FinishRequest(reader);
     }
-    return bytes->size() > ChunkHeadMost ? Refuse(reader, Code_HeadersTooLarge) : reader->State;
+    return bytes->size() > ChunkHeadMax ? Refuse(reader, Code_HeadersTooLarge) : reader->State;
 }
 
 } // namespace Winchlink
--- a/gateway/settings.cpp
+++ b/gateway/settings.cpp
@@ -13,18 +13,18 @@
 namespace Winchlink
 {
 
-static constexpr int EndsMostMost = 64; // The quarantine records at most this many crashes of a request.
-static constexpr int DescriptorsMost = 1000000;
-static constexpr int DescriptorsKept = 300; // Reserved for files, the store, peers and targets.
-static constexpr double SecondsMost = 3600;
-static constexpr int PortMost = 65535;
-static constexpr TimeUs QuotaWindowLeastUs = UsPerSecond; // Instances need time to exchange their counts.
-static constexpr double QuotaSlackMost = 1e6;
+static constexpr int CrashesMaxLimit = 64; // The quarantine records at most this many crashes of a request.
+static constexpr int DescriptorsMax = 1000000;
+static constexpr int DescriptorsReserved = 300; // Reserved for files, the store, peers and targets.
+static constexpr double SecondsMax = 3600;
+static constexpr int PortMax = 65535;
+static constexpr TimeUs QuotaWindowMinUs = UsPerSecond; // Instances need time to exchange their counts.
+static constexpr double QuotaSlackMax = 1e6;
 
 static void ReadSeconds(ObjectReader* r, const char* key, TimeUs* out)
 {
     double seconds = static_cast<double>(*out) / static_cast<double>(UsPerSecond);
-    ReadRealBetween(r, key, false, 0, SecondsMost, &seconds);
+    ReadRealBetween(r, key, false, 0, SecondsMax, &seconds);
     *out = std::llround(seconds * static_cast<double>(UsPerSecond));
 }
 
@@ -74,22 +74,22 @@
     ReadAddress(r, "peerAddress", false, &out->PeerAddress);
     ReadAddress(r, "storeAddress", true, &out->StoreAddress);
     ReadAddresses(r, "peers", &out->Peers);
-    int descriptors = out->ConnectionsMost + DescriptorsKept;
-    ReadIntBetween(r, "descriptorsMost", false, DescriptorsKept + 1, DescriptorsMost, &descriptors);
-    out->ConnectionsMost = descriptors - DescriptorsKept;
+    int descriptors = out->ConnectionsMost + DescriptorsReserved;
+    ReadIntBetween(r, "descriptorsMost", false, DescriptorsReserved + 1, DescriptorsMax, &descriptors);
+    out->ConnectionsMost = descriptors - DescriptorsReserved;
     ReadSeconds(r, "graceS", &out->GraceUs);
     ReadSeconds(r, "repeatWindowS", &out->RepeatWindowUs);
     ReadRealBetween(r, "repeatShare", false, 0, 1, &out->RepeatShare);
-    ReadIntBetween(r, "endsMost", false, 1, EndsMostMost, &out->EndsMost);
+    ReadIntBetween(r, "endsMost", false, 1, CrashesMaxLimit, &out->EndsMost);
     ReadSeconds(r, "holdS", &out->HoldUs);
-    ReadIntBetween(r, "datagramPort", false, 0, PortMost, &out->DatagramPort);
+    ReadIntBetween(r, "datagramPort", false, 0, PortMax, &out->DatagramPort);
     ReadSeconds(r, "quotaWindowS", &out->QuotaWindowUs);
-    if (out->QuotaWindowUs < QuotaWindowLeastUs)
+    if (out->QuotaWindowUs < QuotaWindowMinUs)
     {
         AddFault(*r, r->Codes.OutOfRange, "quotaWindowS", "expected at least 1 second");
     }
     ReadRealBetween(r, "quotaOverage", false, 0, 1, &out->QuotaOverage);
-    ReadRealBetween(r, "quotaSlack", false, 0, QuotaSlackMost, &out->QuotaSlack);
+    ReadRealBetween(r, "quotaSlack", false, 0, QuotaSlackMax, &out->QuotaSlack);
     ReadLevel(r, &out->Level);
 }
 
--- a/gateway/table_adapter.cpp
+++ b/gateway/table_adapter.cpp
@@ -100,7 +100,7 @@
 // [SECTION] Rows
 //-----------------------------------------------------------------------------
 
-struct KnownRow
+struct RowEntry
 {
     ServiceRow Row;
     uint64_t Revision = 0; // Revision of the last change.
@@ -109,7 +109,7 @@
 // The rows received so far.
 struct TableState
 {
-    std::map<std::string, KnownRow> Rows;           // Valid rows, by name.
+    std::map<std::string, RowEntry> Rows;           // Valid rows, by name.
     std::map<std::string, Error> Unusable;          // Errors of malformed rows, by name; while there are any, the table is rejected.
     std::map<std::string, DirectoryTarget> InForce; // Targets of the last valid table, by id.
 };
@@ -136,7 +136,7 @@
     return row;
 }
 
-static void TakeRow(TableState* state, const StoreItem& item)
+static void ApplyRow(TableState* state, const StoreItem& item)
 {
     state->Rows.erase(item.Key);
     state->Unusable.erase(item.Key);
@@ -172,15 +172,15 @@
 // targets that join one later get no requests.
 static std::vector<EvacuationNews> ReadEvacuations(const std::vector<StoreItem>& list)
 {
-    std::vector<EvacuationNews> news;
+    std::vector<EvacuationNews> updates;
     for (const StoreItem& item : list)
     {
         if (IsEvacuation(item))
         {
-            news.push_back({item.Key.substr(std::string(EvacuationPrefix).size()), {!item.Gone, item.Revision}});
+            updates.push_back({item.Key.substr(std::string(EvacuationPrefix).size()), {!item.Gone, item.Revision}});
         }
     }
-    return news;
+    return updates;
 }
 
 //-----------------------------------------------------------------------------
@@ -214,24 +214,24 @@
 }
 
 // Reports a target that was removed from the table, or whose weight became 0, as draining and then as removed.
-static void AddLeaving(const DirectoryTarget& before, uint64_t revision, StoreNews* news)
+static void AddRemovedTarget(const DirectoryTarget& before, uint64_t revision, StoreNews* updates)
 {
     DirectoryTarget leaving = before;
     leaving.Presence = Presence_Leaving;
     leaving.Revision = revision;
-    news->Targets.push_back({leaving, false});
-    news->Targets.push_back({leaving, true});
+    updates->Targets.push_back({leaving, false});
+    updates->Targets.push_back({leaving, true});
 }
 
 // Reports all targets after a full snapshot, otherwise only removed ones and those of changed rows.
-static void AddTargets(TableState* state, const StoreItems& items, StoreNews* news)
+static void AddTargets(TableState* state, const StoreItems& items, StoreNews* updates)
 {
     std::map<std::string, DirectoryTarget> next = MakeTargets(*state);
     for (const auto& entry : state->InForce)
     {
         if (next.count(entry.first) == 0)
         {
-            AddLeaving(entry.second, items.At, news);
+            AddRemovedTarget(entry.second, items.At, updates);
         }
     }
     for (const auto& entry : next)
@@ -240,7 +240,7 @@
         const bool same = before != state->InForce.end() && before->second.Revision == entry.second.Revision;
         if (items.Everything || !same)
         {
-            news->Targets.push_back({entry.second, false});
+            updates->Targets.push_back({entry.second, false});
         }
     }
     state->InForce = std::move(next);
@@ -248,38 +248,38 @@
 
 static StoreNews ReadTable(TableState* state, const StoreItems& items)
 {
-    StoreNews news;
+    StoreNews updates;
     if (items.Everything)
     {
         state->Rows.clear();
         state->Unusable.clear();
     }
-    news.InvalidIsAll = true; // The table is always checked as a whole.
-    news.Evacuations = ReadEvacuations(items.List);
+    updates.InvalidIsAll = true; // The table is always checked as a whole.
+    updates.Evacuations = ReadEvacuations(items.List);
     for (const StoreItem& item : items.List)
     {
         if (!IsEvacuation(item))
         {
-            TakeRow(state, item);
+            ApplyRow(state, item);
         }
     }
     for (const auto& entry : state->Unusable)
     {
-        news.Invalid.push_back({entry.first, entry.second});
+        updates.Invalid.push_back({entry.first, entry.second});
     }
     const Table table = MakeTable(*state, items.At);
     std::vector<Fault> faults;
     CheckRows(table, &faults); // Checks across rows; ParseRow() has checked each row.
     for (const Fault& fault : faults)
     {
-        news.Invalid.push_back({fault.Where, {fault.Code, fault.Where + ": " + fault.Detail}});
+        updates.Invalid.push_back({fault.Where, {fault.Code, fault.Where + ": " + fault.Detail}});
     }
-    if (news.Invalid.empty())
+    if (updates.Invalid.empty())
     {
-        news.Plan = MakePlan(table);
-        AddTargets(state, items, &news);
+        updates.Plan = MakePlan(table);
+        AddTargets(state, items, &updates);
     }
-    return news;
+    return updates;
 }
 
 Adapter TableAdapter()
