--- a/gateway/gateway.cpp
+++ b/gateway/gateway.cpp
@@ -25,10 +25,9 @@
 
 static constexpr TimeUs TickUs = 500 * UsPerMs;    // Interval of periodic work, such as the check of the settings file.
 static constexpr TimeUs StopStepUs = 50 * UsPerMs; // Interval at which a stopping instance checks whether all connections are closed.
-static constexpr TimeUs KeepAcceptingUs =
-    3 * UsPerSecond; // After the stop signal; the balancer in front needs two failed readiness checks, a second each.
-static constexpr TimeUs PendingConnectUs = 200 * UsPerMs; // Time for handshakes in progress to complete once new connections are ignored.
-static constexpr TimeUs StopMarginUs = 300 * UsPerMs;     // The instance exits this long before the end of the grace time.
+static constexpr TimeUs KeepAcceptingUs = 3 * UsPerSecond; // After the stop signal; covers two failed readiness checks of 1 s.
+static constexpr TimeUs PendingConnectUs = 200 * UsPerMs;  // Time for handshakes in progress once new connections are ignored.
+static constexpr TimeUs StopMarginUs = 300 * UsPerMs;      // The instance exits this long before the end of the grace time.
 
 //-----------------------------------------------------------------------------
 // [SECTION] Following the store
