--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -65,7 +65,7 @@
     TimeUs StartedUs = 0;                       // Time of GatewayStart().
     TimeUs PlanUs = 0;                          // Time when the current plan was applied; 0 if there is none.
     std::map<std::string, std::string> Invalid; // Reasons why items of the store are invalid, by key.
-    uint64_t InvalidSeen = 0;                   // Counter: invalid items received.
+    uint64_t InvalidSeen = 0;                   // Counter: items found invalid, without repetitions of the same fault.
     TimeUs StopUs = 0;                          // Time of the stop signal; 0 if none.
     TimeUs SuspendedUs = 0;                     // Counter: total time for which the machine was suspended.
     bool Stopped = false;                       // The planned stop is complete.
