--- a/gateway/caller_connection.cpp
+++ b/gateway/caller_connection.cpp
@@ -1,13 +1,13 @@
-// caller_connection.cpp: one connection of a caller: reading ahead, beginning requests, answering in order.
+// caller_connection.cpp: one connection of a caller: pipelined requests are read ahead, started and answered in order.
 //
-// Answers of requests that ran side by side wait in their exchanges until all before them have been written. The answer after which the
-// connection closes is the last of those begun; a request behind it that has not been begun was not run, and HTTP lets its caller send it
-// again elsewhere.
+// The answer to a request that runs beside others is kept in its exchange until all earlier answers have been written. When the connection
+// is closing, the last started request gets the last answer. A request behind it was not started, so that its caller may safely send it
+// again on another connection.
 //
 // Index of this file:
-// [SECTION] Ends
+// [SECTION] Closing
 // [SECTION] Answering
-// [SECTION] Beginning requests
+// [SECTION] Starting requests
 // [SECTION] Reading and writing
 // [SECTION] Start
 
@@ -29,11 +29,11 @@
 namespace Winchlink
 {
 
-static constexpr int StatusGone = 499;          // Told to nobody: the caller has left.
-static constexpr size_t ReadAtOnce = 16 * KiB;  // Bytes.
-static constexpr int ReadsInRow = 4;            // Other sockets want to be read too.
-static constexpr size_t OutputMost = 256 * KiB; // Bytes that wait for a caller; beyond that, nothing more is begun for it.
-static constexpr TimeUs LingerUs = UsPerSecond; // A caller that goes on sending after the last answer is read so long.
+static constexpr int StatusGone = 499;          // Recorded for a request whose caller has disconnected; never sent.
+static constexpr size_t ReadAtOnce = 16 * KiB;  // Size of the read buffer, in bytes.
+static constexpr int ReadsPerEvent = 4;         // Reads of one socket per event, so that other sockets are served too.
+static constexpr size_t OutputMax = 256 * KiB;  // No further request is read while more unsent bytes than this are buffered.
+static constexpr TimeUs LingerUs = UsPerSecond; // How long input is read and discarded after the last answer.
 
 static CallerConnection* Find(Listener* listener, uint64_t id)
 {
@@ -42,13 +42,13 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Ends
+// [SECTION] Closing
 //-----------------------------------------------------------------------------
 
-// Nobody will read the answer.
-static void TellGone(const ExchangePtr& exchange)
+// Tells the handler that the caller has disconnected.
+static void NotifyGone(const ExchangePtr& exchange)
 {
-    const std::function<void()> gone = std::move(exchange->OnGone); // It may answer, which takes it away.
+    const std::function<void()> gone = std::move(exchange->OnGone); // Moved out, as the call may Reply(), which clears OnGone.
     if (gone)
     {
         gone();
@@ -59,42 +59,42 @@
     }
 }
 
-void ConnectionEnd(Listener* listener, uint64_t id)
+void ConnectionClose(Listener* listener, uint64_t id)
 {
     const auto found = listener->Open.find(id);
-    assert(found != listener->Open.end() && "a connection ends once");
+    assert(found != listener->Open.end() && "the connection is closed already");
     const std::unique_ptr<CallerConnection> connection = std::move(found->second);
     listener->Open.erase(found);
     connection->Events = nullptr;
     close(connection->Socket);
     for (const ExchangePtr& exchange : connection->Requests)
     {
-        if (exchange->Begun && !exchange->Answer)
+        if (exchange->Started && !exchange->Answer)
         {
-            TellGone(exchange);
+            NotifyGone(exchange);
         }
     }
 }
 
-static void Touch(CallerConnection* connection, Listener* listener)
+static void QueueForServe(CallerConnection* connection, Listener* listener)
 {
-    if (!connection->Touched)
+    if (!connection->InServeQueue)
     {
-        connection->Touched = true;
-        listener->Touched.push_back(connection->Id);
+        connection->InServeQueue = true;
+        listener->ServeQueue.push_back(connection->Id);
     }
 }
 
 void Reply(const ExchangePtr& exchange, CallerReply reply)
 {
-    assert(!exchange->Answer && "a request is answered once");
+    assert(!exchange->Answer && "the request has been answered already");
     exchange->Answer = std::move(reply);
     exchange->OnGone = nullptr;
     CallerConnection* connection = Find(exchange->Owner, exchange->Connection);
     if (connection != nullptr)
     {
-        connection->Last = connection->Last || exchange->Answer->CloseConnection;
-        Touch(connection, exchange->Owner);
+        connection->Closing = connection->Closing || exchange->Answer->CloseConnection;
+        QueueForServe(connection, exchange->Owner);
     }
 }
 
@@ -128,7 +128,7 @@
     out += has_body ? reply.Body : "";
 }
 
-// Writes the answers that are ready and have none before them.
+// Moves the answers that are next in order to the output.
 static void WriteAnswers(CallerConnection* connection)
 {
     std::deque<ExchangePtr>& requests = connection->Requests;
@@ -136,29 +136,29 @@
     {
         const ExchangePtr exchange = requests.front();
         requests.pop_front();
-        const bool last_begun = requests.empty() || !requests.front()->Begun;
-        const bool closes = connection->Last && last_begun;
+        const bool last_started = requests.empty() || !requests.front()->Started;
+        const bool closes = connection->Closing && last_started;
         WriteAnswer(connection, *exchange, closes);
         if (closes)
         {
-            requests.clear(); // To its caller, what stands behind counts as not read.
+            requests.clear(); // Requests behind the last answer were not started.
         }
     }
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Beginning requests
+// [SECTION] Starting requests
 //-----------------------------------------------------------------------------
 
-// Whether a further request may be read: all that are in progress may overlap, and there is room for one more.
+// Whether a further request may be read: all in progress have been started and may overlap, and the limits permit one more.
 static bool MayRead(const Listener& listener, const CallerConnection& connection)
 {
     const std::deque<ExchangePtr>& requests = connection.Requests;
-    if (connection.Last || connection.Output.size() - connection.Written > OutputMost)
+    if (connection.Closing || connection.Output.size() - connection.Written > OutputMax)
     {
         return false;
     }
-    return requests.empty() || (requests.back()->Begun && requests.back()->Overlaps && requests.size() < listener.Config.OverlapMost);
+    return requests.empty() || (requests.back()->Started && requests.back()->CanOverlap && requests.size() < listener.Config.OverlapMost);
 }
 
 static void AddRequest(Listener* listener, CallerConnection* connection)
@@ -172,51 +172,51 @@
     exchange->ArrivedUs = connection->ReadUs;
     exchange->Owner = listener;
     exchange->Connection = connection->Id;
-    exchange->Overlaps = exchange->Body.empty() && listener->Config.MayOverlap && listener->Config.MayOverlap(*exchange);
+    exchange->CanOverlap = exchange->Body.empty() && listener->Config.MayOverlap && listener->Config.MayOverlap(*exchange);
     exchange->EndsConnection = !request.KeepsConnection;
     connection->Requests.push_back(exchange);
     RequestReaderBegin(&connection->Reader, listener->Config.Limits);
 }
 
-// What was sent can't be read: it is answered behind the requests before it, and the connection ends.
+// Queues the error answer to a request that could not be parsed, behind the earlier answers, and closes the connection after it.
 static void AddRefusal(Listener* listener, CallerConnection* connection)
 {
     const RequestReader& reader = connection->Reader;
     const std::string code = std::to_string(static_cast<int>(reader.Code));
     Log(LogLevel_Info, reader.Code, "request refused unread", {{"target", reader.Request.Target}, {"status", reader.Status}});
     const auto exchange = std::make_shared<Exchange>();
-    exchange->Begun = true;
+    exchange->Started = true;
     exchange->Answer = CallerReply{reader.Status, {{HeaderCode, code}}, "", true};
     exchange->Owner = listener;
     connection->Requests.push_back(exchange);
-    connection->Last = true;
+    connection->Closing = true;
     connection->Input.clear();
 }
 
-// Headers that come too slowly end the connection, once what was begun has been answered.
-static void OnHeadersLate(Listener* listener, uint64_t id)
+// The headers were not complete in time: closes the connection once the started requests have been answered.
+static void OnHeaderTimeout(Listener* listener, uint64_t id)
 {
     CallerConnection* connection = Find(listener, id);
-    connection->HeadersLate = nullptr;
+    connection->HeaderTimeout = nullptr;
     Log(LogLevel_Info, Code_None, "headers came too slowly", {{"inProgress", static_cast<int>(connection->Requests.size())}});
-    connection->Last = true;
+    connection->Closing = true;
     ConnectionServe(listener, id);
 }
 
-static void WatchHeaders(Listener* listener, CallerConnection* connection)
+static void UpdateHeaderTimeout(Listener* listener, CallerConnection* connection)
 {
     if (connection->Reader.State != ReadState_Headers)
     {
-        connection->HeadersLate = nullptr;
+        connection->HeaderTimeout = nullptr;
     }
-    else if (!connection->HeadersLate)
+    else if (!connection->HeaderTimeout)
     {
-        connection->HeadersLate = TimerStart(listener->Loop, listener->Config.Limits.HeaderTimeoutUs,
-                                             [listener, id = connection->Id]() { OnHeadersLate(listener, id); });
+        connection->HeaderTimeout = TimerStart(listener->Loop, listener->Config.Limits.HeaderTimeoutUs,
+                                               [listener, id = connection->Id]() { OnHeaderTimeout(listener, id); });
     }
 }
 
-// Reads the next request out of the input. False if none is whole, or none may be read now.
+// Parses the next request from the input. False if it is incomplete, or if no further request may be read now.
 static bool ReadNext(Listener* listener, CallerConnection* connection)
 {
     if (!MayRead(*listener, *connection))
@@ -225,10 +225,10 @@
     }
     if (connection->Reader.State == ReadState_Begin)
     {
-        RequestReaderBegin(&connection->Reader, listener->Config.Limits); // They may have changed since the last request.
+        RequestReaderBegin(&connection->Reader, listener->Config.Limits); // The limits may have changed since the last request.
     }
     const ReadState_ state = RequestReaderFeed(&connection->Reader, &connection->Input);
-    WatchHeaders(listener, connection);
+    UpdateHeaderTimeout(listener, connection);
     if (state == ReadState_Body && connection->Reader.WantsContinue && connection->Requests.empty())
     {
         connection->Output += "HTTP/1.1 100 Continue\r\n\r\n";
@@ -245,21 +245,21 @@
     return state == ReadState_Whole || state == ReadState_Refused;
 }
 
-// Hands the latest request over if its turn has come. False if there is none to begin.
-static bool BeginLatest(Listener* listener, CallerConnection* connection)
+// Passes the latest request to the handler if it may start now. False if there is none to start.
+static bool StartLatest(Listener* listener, CallerConnection* connection)
 {
-    if (connection->Requests.empty() || connection->Requests.back()->Begun)
+    if (connection->Requests.empty() || connection->Requests.back()->Started)
     {
         return false;
     }
     const ExchangePtr latest = connection->Requests.back();
     const bool alone = connection->Requests.size() == 1;
-    if (!alone && !latest->Overlaps)
+    if (!alone && !latest->CanOverlap)
     {
         return false;
     }
-    latest->Begun = true;
-    connection->Last = connection->Last || latest->EndsConnection;
+    latest->Started = true;
+    connection->Closing = connection->Closing || latest->EndsConnection;
     listener->Overlapped += alone ? 0 : 1;
     listener->Handler(latest);
     return true;
@@ -269,11 +269,11 @@
 // [SECTION] Reading and writing
 //-----------------------------------------------------------------------------
 
-// False if the caller has left.
+// Reads what has arrived, and discards it if `drop` is set. False if the caller has disconnected.
 static bool Read(CallerConnection* connection, bool drop)
 {
     std::array<char, ReadAtOnce> buffer;
-    for (int n = 0; n < ReadsInRow; n++)
+    for (int n = 0; n < ReadsPerEvent; n++)
     {
         const ssize_t got = recv(connection->Socket, buffer.data(), buffer.size(), MSG_DONTWAIT);
         if (got <= 0)
@@ -291,7 +291,7 @@
     return true;
 }
 
-// False if the caller has left.
+// Sends as much of the output as the socket takes. False if the caller has disconnected.
 static bool Write(CallerConnection* connection)
 {
     while (connection->Written < connection->Output.size())
@@ -305,20 +305,21 @@
         connection->Written += static_cast<size_t>(sent);
         connection->ActiveUs = NowUs();
     }
-    connection->Output = std::string(); // Large answers give their memory back.
+    connection->Output = std::string(); // Frees the memory of large answers; clear() would keep it.
     connection->Written = 0;
     return true;
 }
 
-// Closes our side. Closing both at once would reset the connection if the caller still sends, and take the answer from it.
+// Lingering close: shuts down the sending side and discards input for a while. Closing the socket at once would reset the connection if the
+// caller is still sending, and the caller could lose the answer.
 static void Linger(Listener* listener, CallerConnection* connection)
 {
     shutdown(connection->Socket, SHUT_WR);
-    connection->HeadersLate = nullptr;
-    connection->Lingering = TimerStart(listener->Loop, LingerUs, [listener, id = connection->Id]() { ConnectionEnd(listener, id); });
+    connection->HeaderTimeout = nullptr;
+    connection->Lingering = TimerStart(listener->Loop, LingerUs, [listener, id = connection->Id]() { ConnectionClose(listener, id); });
 }
 
-static void WatchAnew(const Listener& listener, CallerConnection* connection)
+static void UpdateWatch(const Listener& listener, CallerConnection* connection)
 {
     const bool reads = connection->Lingering || MayRead(listener, *connection);
     const int wanted = UV_DISCONNECT | (reads ? UV_READABLE : 0) | (connection->Output.empty() ? 0 : UV_WRITABLE);
@@ -335,18 +336,18 @@
     do
     {
         WriteAnswers(connection);
-    } while (BeginLatest(listener, connection) || ReadNext(listener, connection));
+    } while (StartLatest(listener, connection) || ReadNext(listener, connection));
     if (!Write(connection))
     {
-        ConnectionEnd(listener, id);
+        ConnectionClose(listener, id);
         return;
     }
-    const bool over = connection->Last && connection->Output.empty() && connection->Requests.empty();
+    const bool over = connection->Closing && connection->Output.empty() && connection->Requests.empty();
     if (over && !connection->Lingering)
     {
         Linger(listener, connection);
     }
-    WatchAnew(*listener, connection);
+    UpdateWatch(*listener, connection);
 }
 
 static void OnEvents(Listener* listener, uint64_t id, int events)
@@ -355,7 +356,7 @@
     const bool left = (events & UV_DISCONNECT) != 0;
     if (left || ((events & UV_READABLE) != 0 && !Read(connection, connection->Lingering != nullptr)))
     {
-        ConnectionEnd(listener, id);
+        ConnectionClose(listener, id);
         return;
     }
     ConnectionServe(listener, id);
@@ -365,7 +366,7 @@
 // [SECTION] Start
 //-----------------------------------------------------------------------------
 
-void ConnectionBegin(Listener* listener, int socket)
+void ConnectionOpen(Listener* listener, int socket)
 {
     const int on = 1;
     setsockopt(socket, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
@@ -381,10 +382,10 @@
     listener->Open[id] = std::move(connection);
 }
 
-bool ConnectionRested(const CallerConnection& connection, TimeUs limit, TimeUs now)
+bool ConnectionIsIdle(const CallerConnection& connection, TimeUs limit, TimeUs now)
 {
-    const bool we_work = !connection.Requests.empty() && connection.Output.empty();
-    return !we_work && now > connection.ActiveUs + limit;
+    const bool handlers_run = !connection.Requests.empty() && connection.Output.empty();
+    return !handlers_run && now > connection.ActiveUs + limit;
 }
 
 static bool WaitsForNext(const CallerConnection& connection)
@@ -393,20 +394,20 @@
     return nothing_read && connection.Requests.empty() && connection.Output.empty() && !connection.Lingering;
 }
 
-void ConnectionEndIfIdle(Listener* listener, uint64_t id)
+void ConnectionCloseIfIdle(Listener* listener, uint64_t id)
 {
     CallerConnection* connection = Find(listener, id);
-    assert(connection != nullptr && "only open connections can rest");
+    assert(connection != nullptr && "the connection must be open");
     if (!WaitsForNext(*connection))
     {
         return;
     }
     if (!Read(connection, false) || WaitsForNext(*connection))
     {
-        ConnectionEnd(listener, id);
+        ConnectionClose(listener, id);
         return;
     }
-    ConnectionServe(listener, id); // A request has just come: it is served.
+    ConnectionServe(listener, id); // A request had arrived after all.
 }
 
 } // namespace Winchlink
--- a/gateway/gateway.cpp
+++ b/gateway/gateway.cpp
@@ -1,8 +1,8 @@
-// gateway.cpp: one instance.
+// gateway.cpp: one instance: connects its parts, starts, reloads and stops them.
 //
 // Index of this file:
 // [SECTION] Following the store
-// [SECTION] Requests that end targets
+// [SECTION] Requests that crash targets
 // [SECTION] Quotas
 // [SECTION] Readiness and pages
 // [SECTION] Planned stop
@@ -23,29 +23,29 @@
 namespace Winchlink
 {
 
-static constexpr TimeUs TickUs = 500 * UsPerMs;          // How often the settings file is looked at.
-static constexpr TimeUs StopStepUs = 50 * UsPerMs;       // How often a stopping instance looks whether it is done.
-static constexpr TimeUs StillAcceptUs = 3 * UsPerSecond; // The balancer in front takes two misses, a second each, to notice.
-static constexpr TimeUs QuietUs = 200 * UsPerMs;         // Connections under way when the listening socket was shut arrive by then.
-static constexpr TimeUs StopMarginUs = 300 * UsPerMs;    // An instance ends by itself so long before it would be killed.
+static constexpr TimeUs TickUs = 500 * UsPerMs;    // Interval of periodic work, such as the check of the settings file.
+static constexpr TimeUs StopStepUs = 50 * UsPerMs; // Interval at which a stopping instance checks whether all connections are closed.
+static constexpr TimeUs KeepAcceptingUs = 3 * UsPerSecond; // After the stop signal; covers two failed readiness checks of 1 s.
+static constexpr TimeUs PendingConnectUs = 200 * UsPerMs;  // Time for handshakes in progress once new connections are ignored.
+static constexpr TimeUs StopMarginUs = 300 * UsPerMs;      // The instance exits this long before the end of the grace time.
 
 //-----------------------------------------------------------------------------
 // [SECTION] Following the store
 //-----------------------------------------------------------------------------
 
-// Whom to ask for news: as the settings say. Those that others know by name read the store for them.
+// Configures the sources of updates. Seeds, which the settings of all instances name, read the store; the other instances follow them.
 static void SetSources(Gateway* gateway)
 {
     const Settings& settings = gateway->Config;
     const GatewayTiming& timing = gateway->Timing;
     StoreReader& reader = gateway->Store;
-    const TimeUs wait = settings.Peers.empty() ? timing.LoneWaitUs : timing.StoreWaitUs;
+    const TimeUs wait = settings.Peers.empty() ? timing.UnfollowedWaitUs : timing.StoreWaitUs;
     reader.FromStore = {gateway->Platform.Dialect, wait, timing.StoreMarginUs, timing.StoreGatherUs, timing.StoreReadUs,
                         timing.StoreConnectUs};
     FollowSetSources(&reader.Following, settings.PeerAddress, settings.StoreAddress, settings.Peers, &gateway->Rng);
     const RelayFollower own = {settings.PeerAddress, settings.DataCentre, reader.Following.Reads};
     reader.FromInstance = {RelayDialect(own), timing.PeerWaitUs, timing.PeerMarginUs, 0, timing.PeerReadUs, timing.PeerConnectUs};
-    gateway->Peers.DataCentre = PercentEncoded(settings.DataCentre); // As it comes in calls.
+    gateway->Peers.DataCentre = PercentEncoded(settings.DataCentre); // Encoded as in the query of followers.
 }
 
 static void OnStoreTrouble(Gateway* gateway, const std::string& why, TimeUs tried)
@@ -131,7 +131,7 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Requests that end targets
+// [SECTION] Requests that crash targets
 //-----------------------------------------------------------------------------
 
 static bool ReadsStore(const Gateway& gateway)
@@ -139,36 +139,36 @@
     return gateway.Store.Following.Next.Kind == SourceKind_Store;
 }
 
-static void StartTargetEnds(Gateway* gateway)
+static void StartCrashExchange(Gateway* gateway)
 {
-    TargetEnds& ends = gateway->Ends;
-    ends.Loop = gateway->Loop;
-    ends.Calls = &gateway->Control;
-    ends.Known = &gateway->Requests.Held;
-    ends.Others = [gateway]()
+    TargetEnds& crashes = gateway->Ends;
+    crashes.Loop = gateway->Loop;
+    crashes.Calls = &gateway->Control;
+    crashes.Known = &gateway->Requests.Held;
+    crashes.Others = [gateway]()
     {
         const Follow& following = gateway->Store.Following;
         return ReadsStore(*gateway) ? following.Contacts : std::vector<std::string>{following.Next.Address};
     };
-    ends.OnTell = [gateway]()
+    crashes.OnTell = [gateway]()
     {
         RelayTell(&gateway->Peers);
     };
-    gateway->Requests.OnTargetEnd = [&ends]()
+    gateway->Requests.OnTargetEnd = [&crashes]()
     {
-        TargetEndsChanged(&ends);
+        TargetEndsChanged(&crashes);
     };
-    gateway->Store.OnEndsDigest = [&ends](uint64_t digest)
+    gateway->Store.OnEndsDigest = [&crashes](uint64_t digest)
     {
-        TargetEndsHeard(&ends, digest);
+        TargetEndsHeard(&crashes, digest);
     };
-    gateway->Peers.EndsDigest = [&ends]()
+    gateway->Peers.EndsDigest = [&crashes]()
     {
-        return ends.Known->Digest;
+        return crashes.Known->Digest;
     };
-    gateway->Peers.OnEnds = [&ends](const std::string& bytes)
+    gateway->Peers.OnEnds = [&crashes](const std::string& bytes)
     {
-        return TargetEndsTold(&ends, bytes);
+        return TargetEndsTold(&crashes, bytes);
     };
 }
 
@@ -176,7 +176,7 @@
 // [SECTION] Quotas
 //-----------------------------------------------------------------------------
 
-// The instance that is followed; empty while the store is read or asked.
+// The address of the instance that is the source of updates; empty if the source is the store.
 static std::string SourceInstance(const Gateway& gateway)
 {
     const FollowStep& step = gateway.Store.Following.Next;
@@ -314,12 +314,12 @@
     LoopStop(gateway->Loop);
 }
 
-// Waits until all connections are closed, or the grace time is nearly over.
-static void EndWhenEmpty(Gateway* gateway)
+// Closes idle connections, and ends the loop once all are closed or the grace time is nearly over.
+static void StopWhenIdle(Gateway* gateway)
 {
     ListenerCloseIdle(&gateway->Callers);
     const TimeUs since = NowUs() - gateway->StopUs;
-    const bool quiet = since > StillAcceptUs + QuietUs;
+    const bool quiet = since > KeepAcceptingUs + PendingConnectUs;
     if (quiet)
     {
         ListenerCloseSocket(&gateway->Callers);
@@ -330,13 +330,13 @@
         EndLoop(gateway);
         return;
     }
-    gateway->Stopping = TimerStart(gateway->Loop, StopStepUs, [gateway]() { EndWhenEmpty(gateway); });
+    gateway->StopTimer = TimerStart(gateway->Loop, StopStepUs, [gateway]() { StopWhenIdle(gateway); });
 }
 
-static void ShutOut(Gateway* gateway)
+static void StopAccepting(Gateway* gateway)
 {
-    ListenerIgnoreNew(&gateway->Callers); // Or callers that open one connection after another would keep it up until it is killed.
-    EndWhenEmpty(gateway);
+    ListenerIgnoreNew(&gateway->Callers); // New connections would otherwise delay the exit until the grace time ends.
+    StopWhenIdle(gateway);
 }
 
 void GatewayStop(Gateway* gateway)
@@ -349,8 +349,8 @@
     gateway->StopUs = NowUs();
     gateway->Requests.Leaving = true;
     Log(LogLevel_Info, Code_None, "stopping", {{"inProgress", gateway->Requests.InProgress}});
-    const TimeUs serve_on = std::min(StillAcceptUs, gateway->Config.GraceUs - StopMarginUs);
-    gateway->Stopping = TimerStart(gateway->Loop, serve_on, [gateway]() { ShutOut(gateway); });
+    const TimeUs serve_on = std::min(KeepAcceptingUs, gateway->Config.GraceUs - StopMarginUs);
+    gateway->StopTimer = TimerStart(gateway->Loop, serve_on, [gateway]() { StopAccepting(gateway); });
 }
 
 //-----------------------------------------------------------------------------
@@ -419,7 +419,7 @@
     {
         TargetEndsCompare(&gateway->Ends);
     }
-    gateway->Second = TimerStart(gateway->Loop, TickUs, [gateway]() { Tick(gateway); });
+    gateway->TickTimer = TimerStart(gateway->Loop, TickUs, [gateway]() { Tick(gateway); });
 }
 
 void GatewayWatchSignals(Gateway* gateway)
@@ -480,12 +480,12 @@
     {
         return quotas.error();
     }
-    loop->OnSuspended = [gateway](TimeUs slept)
+    loop->OnSuspended = [gateway](TimeUs suspended)
     {
-        gateway->SuspendedUs += slept;
-        Log(LogLevel_Warn, Code_None, "was suspended", {{"forUs", slept}});
+        gateway->SuspendedUs += suspended;
+        Log(LogLevel_Warn, Code_None, "was suspended", {{"forUs", suspended}});
     };
-    StartTargetEnds(gateway);
+    StartCrashExchange(gateway);
     StartStore(gateway);
     Tick(gateway);
     return BOOST_OUTCOME_V2_NAMESPACE::success();
@@ -495,7 +495,7 @@
 {
     if (Loop != nullptr)
     {
-        Loop->OnSuspended = nullptr; // The loop may go on without it.
+        Loop->OnSuspended = nullptr; // The loop may outlive the gateway.
     }
 }
 
