--- a/winchlink.h
+++ b/winchlink.h
@@ -60,7 +60,7 @@
 // [SECTION] Result codes
 //-----------------------------------------------------------------------------
 
-// Every refusal, failure and alarm has one number, the same in logs, headers and docs/CODES.md. Numbers are never reused.
+// Numbers of all refusals, failures and alarms, as used in logs, headers and docs/CODES.md. Numbers are never reused.
 enum Code_ : int
 {
     Code_None = 0,
@@ -121,13 +121,13 @@
 
 struct CodeInfo
 {
-    Code_ Code;       // The number.
-    const char* Name; // Its name without the prefix, as docs/CODES.md writes it.
-    int HttpStatus;   // Status a caller sees; 0 where no caller sees the code.
-    const char* Text; // One line for people.
+    Code_ Code;
+    const char* Name; // Name without the prefix, as in docs/CODES.md.
+    int HttpStatus;   // Status of the answer to the caller; 0 if the code is never sent to callers.
+    const char* Text; // One-line description.
 };
 
-// All codes in ascending order.
+// All codes, in ascending order.
 const std::vector<CodeInfo>& AllCodes();
 
 // The entry of one code. Asserts that the code is listed.
@@ -135,8 +135,8 @@
 
 struct Error
 {
-    Code_ Code = Code_None; // What went wrong.
-    std::string Detail;     // Where and why: file, key path, expectation.
+    Code_ Code = Code_None;
+    std::string Detail; // Where and why: file, key path, expected value.
 };
 
 template <class T> using Result = BOOST_OUTCOME_V2_NAMESPACE::unchecked<T, Error>;
@@ -241,46 +241,44 @@
 // [SECTION] Customers (who may call, and how much; known by the keys of their requests)
 //-----------------------------------------------------------------------------
 
-// Keys are secrets of customers. Only hashes of them are kept, compared and told to other instances; a hash serves to recognize a key, and
-// the key can't be had from it.
+// Keys are secrets of customers. Only their hashes are stored, compared and sent to other instances.
 inline constexpr size_t KeyHashBytes = 16;
 using KeyHash = std::array<uint8_t, KeyHashBytes>;
 
 KeyHash HashKey(const std::string& key);
 std::string FormatKeyHash(const KeyHash& hash);               // Hexadecimal digits.
-std::optional<KeyHash> ParseKeyHash(const std::string& text); // None where the text is no such hash.
+std::optional<KeyHash> ParseKeyHash(const std::string& text); // None if the text is not a hash in hexadecimal digits.
 
 struct Customer
 {
     std::string Name;            // Unique in the plan.
-    uint64_t Id = 0;             // Stands for the name between instances.
-    std::vector<KeyHash> Keys;   // Each is good for a request.
-    std::optional<int> Priority; // Of its requests, in place of the route's.
-    double RatePerS = 0;         // Requests a second that it may make, over the whole fleet; 0: as many as it likes.
-    double Burst = 0;            // And so many on top.
+    uint64_t Id = 0;             // Hash of the name, used between instances.
+    std::vector<KeyHash> Keys;   // Any of them authenticates a request.
+    std::optional<int> Priority; // Replaces the route's priority for its requests.
+    double RatePerS = 0;         // Quota: requests a second over the whole fleet; 0: unlimited.
+    double Burst = 0;            // Requests in addition, in any window.
 };
 
 struct KeyHashHasher
 {
-    size_t operator()(const KeyHash& hash) const; // Its bytes are as good as random.
+    size_t operator()(const KeyHash& hash) const; // Takes the first bytes: a hash is uniformly distributed.
 };
 
 struct Customers
 {
-    bool Required = false; // Requests need a key, but those of public routes.
+    bool Required = false; // Requests need a key, except on public routes.
     std::vector<Customer> List;
     std::unordered_map<KeyHash, size_t, KeyHashHasher> ByKey; // Index into List.
-    std::unordered_map<uint64_t, size_t> ById;                // The same.
+    std::unordered_map<uint64_t, size_t> ById;                // Index into List.
 };
 
-// Adds a customer and its keys. Code_PlatformBadAnswer if its name, or one of its keys, is another customer's: whose request it is would
-// not be known.
+// Adds a customer and its keys. Code_PlatformBadAnswer if another customer has its name or one of its keys.
 Result<void> AddCustomer(Customers* customers, Customer customer);
 
-// The customer whose key it is; null if it is nobody's.
+// The customer that has the key, or null.
 const Customer* FindCustomer(const Customers& customers, const KeyHash& key);
 
-// The customer of that id; null if there is none.
+// The customer with that id, or null.
 const Customer* FindCustomerById(const Customers& customers, uint64_t id);
 
 //-----------------------------------------------------------------------------
@@ -666,31 +664,32 @@
 // [SECTION] Repeat budget (which requests may be sent twice)
 //-----------------------------------------------------------------------------
 
-// Repeated sends, as a share of the requests of the last window. Each instance keeps its own share, so the sum over the fleet keeps the
-// fleet's without anybody counting it.
+// Limits retries to a share of the requests of the last window. Each instance keeps its own budget; the share then also holds for the
+// fleet.
 struct RepeatBudget
 {
     static constexpr size_t Steps = 20; // Parts of the window.
 
     struct Step
     {
-        int64_t Number = -1; // Which step of time it counts.
+        int64_t Number = -1; // Time divided by the length of a step; -1: unused.
         int Requests = 0;
         int Repeats = 0;
     };
 
-    double Share = 0.2;                   // Repeats a request.
-    int Extra = 1;                        // Repeats beyond that, a window.
+    double Share = 0.2;                   // Retries allowed per request.
+    int Extra = 1;                        // Retries allowed per window in addition.
     TimeUs WindowUs = 10 * UsPerSecond;   // Length of the window.
     std::array<Step, 2 * Steps> Counts{}; // Ring, by step number.
 };
 
+// Counts a request.
 void RepeatBudgetRequest(RepeatBudget* budget, TimeUs now);
 
-// Takes one repeat if there is one. `part` of the budget may be used for it, 0 to 1.
+// Takes one retry if the budget allows it. `part`: part of the budget that may be used, 0 to 1.
 bool RepeatBudgetTake(RepeatBudget* budget, double part, TimeUs now);
 
-// Gives back one that was taken at `taken` and not used. It goes back to where it was counted: a step may have ended since.
+// Gives back an unused retry that was taken at `taken`. It is deducted from the step in which it was counted, if that is still kept.
 void RepeatBudgetReturn(RepeatBudget* budget, TimeUs taken);
 
 //-----------------------------------------------------------------------------
@@ -826,164 +825,164 @@
 // [SECTION] Return schedule (when refused callers may come back)
 //-----------------------------------------------------------------------------
 
-// Places in time for refused callers, one after the other, as fast as a part of the measured rate of service allows. In a short overload
-// the next place is near; in a long one the schedule fills, and callers stay away until it is likely to be over instead of taking the slots
-// of those who could still be served in time (0.01 of an overloaded day's worth, docs/DECISIONS.md). An instance knows only its own
-// refusals and service; as callers come back to any instance, what it gives out and what it gets are alike where load is spread evenly.
+// Computes when refused callers should retry (Retry-After). Retries are spaced so that they take at most a fixed share of the measured
+// service rate. In a short overload the next retry time is near; in a long one the schedule extends up to MostUs, so that retries don't
+// take slots from requests that can still be served in time. Each instance knows only its own refusals and service rate, so load has to be
+// spread evenly over the instances.
 struct ReturnSchedule
 {
-    TimeUs LeastUs = 300 * UsPerMs;    // The next place is no nearer: about the work of one request.
-    TimeUs MostUs = 5 * UsPerSecond;   // And no farther.
-    double Share = 0.25;               // Part of the service that may go to callers who come back; the rest is for new requests.
-    double Spread = 0.2;               // Places are moved by up to this part, so that callers of one moment don't return together.
-    TimeUs MemoryUs = 2 * UsPerSecond; // Service is counted over about this time.
-    double Served = 10;  // Requests served within that memory; at first a guess, so that a start is not taken for an overload.
-    TimeUs ServedUs = 0; // When Served was last brought up to date.
-    TimeUs NextUs = 0;   // The latest place that was given out.
+    TimeUs LeastUs = 300 * UsPerMs;    // Minimum delay of a retry, before jitter: about the duration of one request.
+    TimeUs MostUs = 5 * UsPerSecond;   // Maximum delay of a retry, before jitter.
+    double Share = 0.25;               // Part of the service rate for retries; the rest is for new requests.
+    double Spread = 0.2;               // Jitter, as a part of the delay.
+    TimeUs MemoryUs = 2 * UsPerSecond; // Time constant of the exponential decay of Served.
+    double Served = 10;                // Served requests, decayed; starts above 0 so that a start is not taken for an overload.
+    TimeUs ServedUs = 0;               // When Served was last updated.
+    TimeUs NextUs = 0;                 // The latest retry time that was assigned.
 };
 
-// A request has been served.
+// Counts a served request.
 void ReturnScheduleServed(ReturnSchedule* schedule, TimeUs now);
 
-// Gives a refused caller its place: how long it should stay away.
+// Assigns the next retry time to a refused caller; returns the delay from now.
 TimeUs ReturnScheduleTake(ReturnSchedule* schedule, TimeUs now, Random* random);
 
 //-----------------------------------------------------------------------------
 // [SECTION] Quotas (what customers may ask, and targets take, of the whole fleet, though nobody counts it)
 //-----------------------------------------------------------------------------
 
-// A customer may make so many requests in any window, over all instances, whether they hear of each other or not; and one that stays below
-// its quota must not be refused. No instance sees more than a small part, too little to tell a customer that asks for ten times its quota
-// from one that asks for half.
+// A customer's quota limits its requests in any window, summed over all instances. A single instance sees too small a part of the traffic
+// to tell whether a customer exceeds its quota, so admission is decided from fleet-wide sums:
 //
-// So instances report what they admit along the tree in which they follow each other: each one tells the instance that it follows the sums
-// of itself and of those that report to it. The first contacts exchange their sums, and each decides for those below it what share of a
-// customer's requests is admitted; every instance admits that share of what it gets. Reports are states and not changes: a lost one, or one
-// that comes twice, does no harm. What is decided steers the sum of the last window towards the quota and a part of what it may be passed
-// by; the rest is for what is known late.
+//  - Reports go up the tree. Each instance counts the requests it got and admitted per customer, and periodically sends the sums of itself
+//    and of its followers to its source. The seeds exchange their sums, so that each of them knows the whole fleet.
+//  - Decisions go down the tree. Each seed computes for every customer the share of its requests (0 to 1) that may be admitted, and answers
+//    the reports with these shares. Each instance admits that share of the requests it gets.
 //
-//  - Instances that are not heard any more may be cut off and still admit. The others use no more than their part of the quota, by their
-//    number against the largest of late.
-//  - An instance that hears no decision admits by itself: of a small fleet one request of each customer, and its part of the quota, by the
-//    number of instances.
-//  - An instance that has just started knows nothing of what it admitted before. Its part of the quota counts as used up in the window
-//    before its start.
+// Reports hold totals and no changes, so lost and duplicated ones do no harm. Decisions steer the admitted sum of the last window towards
+// the quota plus a part (OverageUsed) of the tolerance; the rest of the tolerance absorbs the delay of reports and decisions.
 //
-// A target in need names a limit in its answers: so many requests a second, of all instances together. That is the same matter with the
-// roles changed, and the same mechanism keeps it, in a Quota of its own: what is counted are requests to the target, and the limit is not
-// in the plan but travels with reports and decisions, from the first instance that hears it. A request that is not admitted goes to another
-// target. While nobody can know how many requests are on their way, after a start or when a limit is new, each instance admits a few times
-// its even part at the most.
+//  - Partition: instances that stopped reporting may still admit requests. The others use only their part of the quota, which is their
+//    number divided by the largest recent number of instances.
+//  - No decision received: an instance admits requests by itself, from an allowance that fills at the rate of its even part of the quota.
+//    The allowance starts with one request of each customer, or, in a large fleet, with one or none by chance.
+//  - Restart: an instance doesn't know what it admitted before it started. Its part of the quota counts as used up for that time.
+//
+// An overloaded target can name a limit in its answers: requests a second from all instances together. The same mechanism enforces it, with
+// a Quota of its own in which requests are counted by target. These limits are not part of the plan: they spread with reports and decisions
+// from the instance that got the answer. A request that is not admitted at one target goes to another. After a restart of the fleet or
+// while a limit is new, each instance admits at most StartParts times its even part.
 //
 // How to use it: QuotaTake() for each request of a customer with a quota, QuotaReturn() for one that no target has run; QuotaDecide()
-// after each report that comes, and every QuotaReportIn(), then hand QuotaReports() to the instance that is followed, or, at a first
-// contact, to the others of them. Take what comes with QuotaHeardReport() and answer with QuotaAnswers(), which the sender takes with
-// QuotaHeardAnswer(). For targets: TargetQuotaConfig(), QuotaName() for each of their answers, and QuotaTakeNamed() and QuotaDecideNamed()
-// in place of the other two.
+// after each received report and every QuotaReportIn(), then send QuotaReports() to the source or, from a seed, to the other seeds. Pass
+// received reports to QuotaHeardReport() and answer them with QuotaAnswers(), which the sender passes to QuotaHeardAnswer(). For targets:
+// TargetQuotaConfig(), QuotaName() for each of their answers, and QuotaTakeNamed() and QuotaDecideNamed() in place of QuotaTake() and
+// QuotaDecide().
 
 struct QuotaConfig
 {
-    TimeUs WindowUs = 5 * UsPerSecond;       // Over which a customer's requests are counted.
-    double Overage = 0.25;                   // In a window a customer may pass its quota by this part of it,
-    double Slack = 20;                       // and by so many requests more.
-    double OverageUsed = 0.3;                // Part of these two that is aimed at: the rest is for what is known late.
-    TimeUs ReportUs = 250 * UsPerMs;         // How often instances report,
-    TimeUs ForwardUs = 100 * UsPerMs;        // and those to which others report, so that news are not held up at each of them.
-    TimeUs DecideUs = 50 * UsPerMs;          // Shortest time between two decisions.
-    TimeUs MemberUs = 750 * UsPerMs;         // Reports and decisions are believed for so long: two in a row may be lost.
-    TimeUs MembersKeptUs = 60 * UsPerSecond; // Instances that went silent may be cut off and still admit for so long.
-    TimeUs CorrectUs = 1500 * UsPerMs;       // Time in which the sum of a window is brought to its aim: some twice as long as news take.
-    double StartCovered = 0.5;               // While less of the window is known, most of the fleet has just started.
-    double StartParts = 3;     // After a start of all an instance admits so many times its even part, at the most: callers come unevenly.
-    double MembersGuess = 100; // Instances of the fleet, for one that has never heard of any.
-    double CutOffShare = 0.25; // Part of the fleet that may admit one request each by itself within Slack.
-    double SurgeShare = 2; // At this share and above, an instance admits StartParts at the most, in case many come at once; above 1: never.
-    double TrialPerS = 1.0 / 60; // Rate of a target that names a lower limit, or none at all: its answers tell when it takes more.
-    TimeUs NamedKeptUs = 300 * UsPerSecond; // A limit is believed for so long after it was last named.
-    TimeUs LiftedKeptUs = 10 * UsPerSecond; // That it is no longer named is told for so long: all have heard by then.
-};
-
-// For limits that targets name: a target may get half as much again as it names, and 5 requests, in 4 s.
+    TimeUs WindowUs = 5 * UsPerSecond;       // Requests are counted over this time.
+    double Overage = 0.25;                   // Tolerance in a window, as a part of the quota,
+    double Slack = 20;                       // plus this number of requests.
+    double OverageUsed = 0.3;                // Part of the tolerance that is added to the quota; the rest absorbs reporting delays.
+    TimeUs ReportUs = 250 * UsPerMs;         // Report interval of instances without followers,
+    TimeUs ForwardUs = 100 * UsPerMs;        // and of seeds and instances with followers, to limit the delay at each level of the tree.
+    TimeUs DecideUs = 50 * UsPerMs;          // Minimum time between two decisions.
+    TimeUs MemberUs = 750 * UsPerMs;         // Reports and decisions expire after this time: two in a row may be lost.
+    TimeUs MembersKeptUs = 60 * UsPerSecond; // Instances that stopped reporting are assumed to admit requests for this time.
+    TimeUs CorrectUs = 1500 * UsPerMs;       // Time constant of the correction towards the target sum; above the delay of reports.
+    double StartCovered = 0.5;               // Below this covered part of the window, the fleet counts as just started.
+    double StartParts = 3;                   // Maximum of an instance after a start of the fleet, in multiples of its even part.
+    double MembersGuess = 100;               // Assumed number of instances while none is known.
+    double CutOffShare = 0.25;               // Part of the fleet that may each admit one request without a decision within Slack.
+    double SurgeShare = 2;       // From this share on, an instance admits at most StartParts times its even part; above 1: no such bound.
+    double TrialPerS = 1.0 / 60; // Minimum rate of a target with a limit, so that its answers can report a higher limit.
+    TimeUs NamedKeptUs = 300 * UsPerSecond; // A target's limit expires this long after it was last named.
+    TimeUs LiftedKeptUs = 10 * UsPerSecond; // The end of a limit is passed on for this time.
+};
+
+// The configuration for limits of targets: a window of 4 s, and a tolerance of half the limit plus 5 requests.
 QuotaConfig TargetQuotaConfig();
 
-// A limit that a target named in an answer. The latest word holds, wherever in the fleet it was heard.
+// A limit that a target named in an answer. The latest answer to any instance holds.
 struct NamedLimit
 {
-    double PerS = 0;      // Requests a second, of all instances together.
-    bool InForce = false; // False: it has answered since without naming one.
-    TimeUs HeardUs = 0;   // When the answer came.
+    double PerS = 0;      // Requests a second, from all instances together.
+    bool InForce = false; // False: the latest answer named no limit.
+    TimeUs HeardUs = 0;   // When the answer was received.
 };
 
-// What was seen of a customer.
+// Request counts of one customer or target.
 struct QuotaCount
 {
     double Admitted = 0; // Requests in the last window.
-    double Leaving = 0;  // Of these a second, that the window is about to leave behind.
-    double Wanted = 0;   // Requests a second, admitted or not, of the last second,
-    double Rising = 0;   // and of the last part of it: who asks for much more all of a sudden is seen so.
+    double Leaving = 0;  // Admitted requests a second in the oldest second of the window, which expire next.
+    double Wanted = 0;   // Requests a second, admitted or not, over the last second.
+    double Rising = 0;   // The same over the last one or two steps of the window, to detect sudden increases.
 };
 
+// Requests counted in one step of the window.
 struct QuotaStep
 {
-    int64_t Number = -1; // Which step of time it counts.
+    int64_t Number = -1; // Time divided by the length of a step; -1: unused.
     int Wanted = 0;
     int Admitted = 0;
 };
 
-// What this instance has seen of a customer.
+// What this instance has counted for one customer or target.
 struct QuotaUse
 {
     static constexpr int Steps = 20;              // Parts of the window.
     std::array<QuotaStep, Steps + 4> Counts = {}; // Ring, by step number.
-    double Credit = 0;                            // Of the share that is admitted: a request is, when it comes to one.
-    double Alone = 0;                             // Requests that may be admitted without a decision,
-    TimeUs AloneUs = 0;                           // as of then; 0: never counted.
-    TimeUs ChargedUs = 0;                         // Decision since which admitted requests were taken off that.
+    double Credit = 0;                            // Sum of shares; a request is admitted when it reaches 1.
+    double Alone = 0;                             // Allowance: requests that may be admitted without a decision.
+    TimeUs AloneUs = 0;                           // When the allowance was last filled; 0: never.
+    TimeUs ChargedUs = 0;                         // Time of the decision since which admitted requests were deducted from the allowance.
 };
 
 struct QuotaReportEntry
 {
-    uint64_t Customer = 0; // Id.
+    uint64_t Customer = 0; // Id of a customer, or of a target's incarnation.
     QuotaCount Count;
 };
 
-// A limit as instances tell it each other.
+// A target's limit as sent between instances.
 struct NamedLimitNews
 {
-    uint64_t Id = 0; // Of the target's life.
+    uint64_t Id = 0; // Of the target's incarnation.
     double PerS = 0;
     bool InForce = false;
-    TimeUs AgeUs = 0; // How long ago it was heard.
+    TimeUs AgeUs = 0; // Time since the target's answer was received.
 };
 
-// How many instances there were at most of late. All tell it each other, so that it outlives whoever counted them.
+// The largest recent number of instances. It is part of every report and answer, so that it survives the instance that counted it.
 struct QuotaMost
 {
     double Members = 0; // 0: unknown.
-    TimeUs AgeUs = 0;   // How long ago they were counted.
+    TimeUs AgeUs = 0;   // Time since they were counted.
 };
 
-// Part of what an instance reports; several make up the whole.
+// One message of a report; a report that is too large for one packet is sent as several.
 struct QuotaReport
 {
     QuotaMost Most;
-    double Members = 0; // Instances that the sums are of.
-    double Covered = 0; // The same, each by the part of the window that it has been up for.
+    double Members = 0; // Instances included in the sums.
+    double Covered = 0; // Sum over these instances of the part of the window, 0 to 1, that each has been up for.
     std::vector<QuotaReportEntry> Entries;
     std::vector<NamedLimitNews> Named;
 };
 
 struct QuotaShare
 {
-    uint64_t Customer = 0; // Id.
-    double Share = 1;      // Part of its requests that is admitted.
+    uint64_t Customer = 0; // Id of a customer, or of a target's incarnation.
+    double Share = 1;      // Part of its requests that is admitted, 0 to 1.
 };
 
-// Part of what was decided. A customer that isn't named is admitted in full, unless the window is not known whole.
+// One message of a decision. Customers that are not listed are admitted in full, unless Covered is below 1.
 struct QuotaAnswer
 {
     QuotaMost Most;
-    double Covered = 0; // Part of the window that is known, 0 to 1.
+    double Covered = 0; // Part of the window that is covered by reports, 0 to 1.
     std::vector<QuotaShare> Shares;
     std::vector<NamedLimitNews> Named;
 };
@@ -991,87 +990,87 @@
 struct QuotaHeard
 {
     QuotaCount Count;
-    TimeUs AtUs = 0; // When it was reported.
+    TimeUs AtUs = 0; // When it was received.
 };
 
-// An instance that reports to this one.
+// The last reports of another instance.
 struct QuotaMember
 {
-    TimeUs HeardUs = 0;
-    double Members = 0;
+    TimeUs HeardUs = 0; // Time of the last report; 0 if none.
+    double Members = 0; // As in QuotaReport.
     double Covered = 0;
-    std::unordered_map<uint64_t, QuotaHeard> Counts; // By customer.
+    std::unordered_map<uint64_t, QuotaHeard> Counts; // By customer or target.
 };
 
 struct QuotaDecision
 {
     double Share = 1;
-    TimeUs AtUs = 0; // When it was made, or told.
+    TimeUs AtUs = 0; // When it was made or received.
 };
 
 struct Quota
 {
     QuotaConfig Config;
-    bool Decides = false;                               // We are a first contact.
+    bool Decides = false;                               // This instance is a seed.
     TimeUs StartedUs = 0;                               // When this instance was started.
-    std::unordered_map<uint64_t, NamedLimit> Named;     // Of targets, by life.
-    std::unordered_map<uint64_t, QuotaUse> Own;         // By customer or target; those without requests for a while are forgotten.
-    std::map<std::string, QuotaMember> Followers;       // By address: those that report to us.
-    std::map<std::string, QuotaMember> Contacts;        // The same of other first contacts.
-    std::unordered_map<uint64_t, QuotaDecision> Shares; // Of customers that are not admitted in full, or were not a moment ago.
-    double Members = 1;                                 // Instances heard now, if we decide.
-    double Covered = 0;                                 // Part of the window that is known of them all, 0 to 1.
-    TimeUs ToldUs = 0;                                  // When a decision was last told; 0: never.
-    TimeUs DecidedUs = 0;                               // When we last decided.
-    double MembersMost = 0;                             // Most instances of late; 0: unknown.
-    TimeUs MembersMostUs = 0;                           // When they were counted.
-    double MembersLow = 0;                              // Fewest instances counted since
-    TimeUs MembersLowUs = 0;                            // then.
-};
-
-// Whether a request of the customer may be served. It counts from now on.
+    std::unordered_map<uint64_t, NamedLimit> Named;     // Limits of targets, by incarnation.
+    std::unordered_map<uint64_t, QuotaUse> Own;         // Counts of this instance, by customer or target; idle entries are removed.
+    std::map<std::string, QuotaMember> Followers;       // Instances that report to this one, by address.
+    std::map<std::string, QuotaMember> Contacts;        // Other seeds, by address.
+    std::unordered_map<uint64_t, QuotaDecision> Shares; // Customers or targets whose share is below 1, or was until recently.
+    double Members = 1;                                 // Instances that report now; kept by seeds.
+    double Covered = 0;                                 // Part of the window that is covered by reports of all instances, 0 to 1.
+    TimeUs ToldUs = 0;                                  // When a decision was last received; 0: never.
+    TimeUs DecidedUs = 0;                               // When QuotaDecide() last ran; 0: never.
+    double MembersMost = 0;                             // Largest recent number of instances; 0: unknown.
+    TimeUs MembersMostUs = 0;                           // When MembersMost was counted.
+    double MembersLow = 0;                              // Smallest number of instances since MembersLowUs.
+    TimeUs MembersLowUs = 0;                            // Start of that period; 0: none yet.
+};
+
+// Whether a request of the customer is admitted. Counts the request.
 bool QuotaTake(Quota* quota, const Customer& customer, TimeUs now, Random* random);
 
-// One that was taken at `taken` was run by no target, or did not go to this one.
+// Takes back the admission, made at `taken`, of a request that no target ran or that was sent to another target.
 void QuotaReturn(Quota* quota, uint64_t id, TimeUs taken);
 
-// A target has answered, and named a limit or none. True if that is new.
+// Records the limit named in a target's answer, or that it named none. True if this is a change.
 bool QuotaName(Quota* quota, uint64_t id, std::optional<double> per_s, TimeUs now);
 
-// The limit that is in force for a target, or null.
+// The limit in force for a target, or null.
 const NamedLimit* QuotaNamed(const Quota& quota, uint64_t id);
 
-// Whether a request may go to a target. It counts from now on. True for targets without a limit.
+// Whether a request is admitted at a target; always true for targets without a limit. Counts the request if there is a limit.
 bool QuotaTakeNamed(Quota* quota, uint64_t id, TimeUs now, Random* random);
 
-// When a request that was not admitted at a target may be, from now.
+// Time between two requests at the target's limit; 0 without a limit.
 TimeUs QuotaNamedTurn(const Quota& quota, uint64_t id);
 
-// When a refused caller may come back with some hope, from now.
+// How long a refused caller should wait before it retries.
 TimeUs QuotaReturnTime(const Quota& quota, uint64_t customer, Random* random);
 
-// Forgets what is too old, and, at a first contact, decides, unless it has just done so. True if anybody's share has changed so much that
-// it should be told at once.
+// Removes expired data and, at a seed, computes the shares; does nothing within DecideUs of the last call. True if a share changed so much
+// that the decision should be sent at once.
 bool QuotaDecide(Quota* quota, const Customers& customers, TimeUs now);
 
-// The same for targets.
+// The same for limits of targets.
 bool QuotaDecideNamed(Quota* quota, TimeUs now);
 
-// How long to wait before the next report.
+// Time until the next report is due.
 TimeUs QuotaReportIn(const Quota& quota);
 
-// What is reported to the instance that is followed, or to other first contacts. At least one.
+// The report for the source or for other seeds, as one or more messages.
 std::vector<QuotaReport> QuotaReports(const Quota& quota, TimeUs now);
 
-// Another instance reports; `contact`: it is a first contact, as we are. Reports that make no sense are passed over. True if it was not
-// known: another first contact that has just started should hear at once what we know.
+// Takes a report of another instance; `contact`: from another seed. Invalid reports are ignored. True if the sender was unknown: a seed
+// that has just started should get a report at once.
 bool QuotaHeardReport(Quota* quota, const std::string& from, const QuotaReport& report, bool contact, TimeUs now);
 
-// What those that report are told; nothing if nothing is known.
+// The decision for instances that report, as messages; empty if there is none.
 std::vector<QuotaAnswer> QuotaAnswers(const Quota& quota, TimeUs now);
 
-// The instance that we report to has told what was decided. True if it should be handed on at once: nothing was known before, or
-// somebody's share has changed much.
+// Takes a decision from the source. True if it should be forwarded to the followers at once: it is the first for a while, or a share
+// changed much.
 bool QuotaHeardAnswer(Quota* quota, const QuotaAnswer& answer, TimeUs now);
 
 //-----------------------------------------------------------------------------
