--- a/winchlink_quota.cpp
+++ b/winchlink_quota.cpp
@@ -1,11 +1,11 @@
-// winchlink_quota.cpp: what customers may ask of the whole fleet, and targets take of it.
+// winchlink_quota.cpp: quotas of customers and limits of targets, over the whole fleet.
 //
 // Index of this file:
-// [SECTION] Limits that targets name
+// [SECTION] Limits of targets
 // [SECTION] Counting
-// [SECTION] Admitting
-// [SECTION] Deciding
-// [SECTION] Telling
+// [SECTION] Admission
+// [SECTION] Decisions
+// [SECTION] Reports and answers
 
 #include "winchlink.h"
 
@@ -17,17 +17,17 @@
 namespace Winchlink
 {
 
-static constexpr size_t EntriesMost = 48; // Customers, or limits, in one message: it fits a packet.
-static constexpr double CountMost = 1e9;  // Larger ones make no sense.
-static constexpr double ShareStep = 0.1;  // A share that moves by more is told at once.
+static constexpr size_t EntriesMax = 48; // Customers, or limits, in one message, so that it fits one packet.
+static constexpr double CountMax = 1e9;  // Larger values in messages are invalid.
+static constexpr double ShareStep = 0.1; // A share that falls by more is sent at once.
 static constexpr double Seconds = 1.0 / static_cast<double>(UsPerSecond);
 
-// What may be asked in one name over the whole fleet.
+// Requests allowed over the whole fleet, for one customer or target.
 struct QuotaLimit
 {
-    uint64_t Id = 0;     // Of a customer, or of a target's life.
-    double RatePerS = 0; // Requests a second,
-    double Burst = 0;    // and so many on top.
+    uint64_t Id = 0;     // Of a customer, or of a target's incarnation.
+    double RatePerS = 0; // Requests a second.
+    double Burst = 0;    // Requests in addition, in any window.
 };
 
 static QuotaLimit LimitOf(const Customer& customer)
@@ -35,13 +35,13 @@
     return {customer.Id, customer.RatePerS, customer.Burst};
 }
 
-static bool IsCount(double value)
+static bool IsValidCount(double value)
 {
-    return std::isfinite(value) && value >= 0 && value <= CountMost;
+    return std::isfinite(value) && value >= 0 && value <= CountMax;
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Limits that targets name
+// [SECTION] Limits of targets
 //-----------------------------------------------------------------------------
 
 QuotaConfig TargetQuotaConfig()
@@ -50,7 +50,7 @@
     config.WindowUs = 4 * UsPerSecond;
     config.Overage = 0.5;
     config.Slack = 5;
-    config.OverageUsed = 0.15; // Shares end at 0 and 1, so that the mean lies below the aim: with it, at the limit.
+    config.OverageUsed = 0.15; // Shares are cut off at 0 and 1, so the mean stays below the goal; this raises it to the limit.
     config.StartParts = 2;
     config.SurgeShare = 0.9;
     config.CutOffShare = 1;
@@ -67,7 +67,7 @@
     const auto found = quota->Named.find(id);
     if (!per_s && found == quota->Named.end())
     {
-        return false; // Nearly all targets, nearly always.
+        return false; // The common case: creates no entry.
     }
     NamedLimit& known = quota->Named[id];
     const bool same = known.InForce == per_s.has_value() && (!per_s || known.PerS == *per_s);
@@ -87,7 +87,7 @@
     return named != nullptr ? static_cast<TimeUs>(static_cast<double>(UsPerSecond) / LimitOf(quota, id, *named).RatePerS) : 0;
 }
 
-static void ForgetNamed(Quota* quota, TimeUs now)
+static void RemoveExpiredLimits(Quota* quota, TimeUs now)
 {
     for (auto named = quota->Named.begin(); named != quota->Named.end();)
     {
@@ -97,30 +97,30 @@
     }
 }
 
-static std::vector<NamedLimitNews> NamedNews(const Quota& quota, TimeUs now)
+static std::vector<NamedLimitNews> LimitUpdates(const Quota& quota, TimeUs now)
 {
-    std::vector<NamedLimitNews> news;
+    std::vector<NamedLimitNews> updates;
     for (const auto& [id, named] : quota.Named)
     {
-        news.push_back({id, named.PerS, named.InForce, now - named.HeardUs});
+        updates.push_back({id, named.PerS, named.InForce, now - named.HeardUs});
     }
-    return news;
+    return updates;
 }
 
-// True if any of it is new.
-static bool HearNamed(Quota* quota, const std::vector<NamedLimitNews>& news, TimeUs now)
+// Takes limits from a message. True if any limit changed.
+static bool ApplyLimitUpdates(Quota* quota, const std::vector<NamedLimitNews>& updates, TimeUs now)
 {
     bool changed = false;
-    for (const NamedLimitNews& told : news)
+    for (const NamedLimitNews& update : updates)
     {
-        const bool sane = IsCount(told.PerS) && told.AgeUs >= 0 && told.AgeUs <= quota->Config.NamedKeptUs;
-        const TimeUs heard = now - told.AgeUs;
-        const auto found = quota->Named.find(told.Id);
+        const bool valid = IsValidCount(update.PerS) && update.AgeUs >= 0 && update.AgeUs <= quota->Config.NamedKeptUs;
+        const TimeUs heard = now - update.AgeUs;
+        const auto found = quota->Named.find(update.Id);
         const bool newer = found == quota->Named.end() || heard > found->second.HeardUs;
-        if (sane && newer)
+        if (valid && newer)
         {
-            const bool same = found != quota->Named.end() && found->second.PerS == told.PerS && found->second.InForce == told.InForce;
-            quota->Named[told.Id] = {told.PerS, told.InForce, heard};
+            const bool same = found != quota->Named.end() && found->second.PerS == update.PerS && found->second.InForce == update.InForce;
+            quota->Named[update.Id] = {update.PerS, update.InForce, heard};
             changed = changed || !same;
         }
     }
@@ -136,7 +136,7 @@
     return config.WindowUs / QuotaUse::Steps;
 }
 
-static QuotaStep* PlaceOf(QuotaUse* use, int64_t number)
+static QuotaStep* RingEntry(QuotaUse* use, int64_t number)
 {
     return &use->Counts[static_cast<size_t>(number) % use->Counts.size()];
 }
@@ -144,7 +144,7 @@
 static QuotaStep* StepAt(QuotaUse* use, const QuotaConfig& config, TimeUs at)
 {
     const int64_t number = at / StepUs(config);
-    QuotaStep* step = PlaceOf(use, number);
+    QuotaStep* step = RingEntry(use, number);
     if (step->Number != number)
     {
         *step = QuotaStep{number, 0, 0};
@@ -152,8 +152,8 @@
     return step;
 }
 
-// Steps of about a second.
-static int64_t StepsOfSecond(const QuotaConfig& config)
+// Number of steps in about one second.
+static int64_t StepsPerSecond(const QuotaConfig& config)
 {
     return std::clamp<int64_t>(UsPerSecond / StepUs(config), 1, QuotaUse::Steps);
 }
@@ -162,14 +162,14 @@
 {
     const QuotaConfig& config = quota.Config;
     const int64_t current = now / StepUs(config);
-    const int64_t second = StepsOfSecond(config);
-    const TimeUs up = std::max(now - quota.StartedUs, StepUs(config)); // A start has seen only so much.
+    const int64_t second = StepsPerSecond(config);
+    const TimeUs up = std::max(now - quota.StartedUs, StepUs(config)); // Shortly after a start, rates are taken over this time.
     const double per_s = 1.0 / (static_cast<double>(second * StepUs(config)) * Seconds);
     const double seen_per_s = std::max(per_s, 1.0 / (static_cast<double>(up) * Seconds));
     QuotaCount count;
-    double lately = 0; // With the step that has just begun,
-    double before = 0; // and without.
-    double rising = 0; // In that step or the one before.
+    double lately = 0; // Requests in the last second, including the current step.
+    double before = 0; // The same, without the current step.
+    double rising = 0; // Requests in the current step or in the one before, whichever has more.
     for (const QuotaStep& step : use.Counts)
     {
         const int64_t age = current - step.Number;
@@ -198,7 +198,7 @@
 
 using QuotaSums = std::unordered_map<uint64_t, QuotaCount>;
 
-static void AddMembers(QuotaSums* sums, const std::map<std::string, QuotaMember>& members)
+static void AddReportedCounts(QuotaSums* sums, const std::map<std::string, QuotaMember>& members)
 {
     for (const auto& entry : members)
     {
@@ -209,25 +209,26 @@
     }
 }
 
-// Of this instance and of those that report to it.
-static QuotaSums SumsBelow(const Quota& quota, TimeUs now)
+// Sums of this instance and its followers.
+static QuotaSums SubtreeSums(const Quota& quota, TimeUs now)
 {
     QuotaSums sums;
     for (const auto& [customer, use] : quota.Own)
     {
         AddTo(&sums[customer], CountOf(quota, use, now));
     }
-    AddMembers(&sums, quota.Followers);
+    AddReportedCounts(&sums, quota.Followers);
     return sums;
 }
 
+// See QuotaReport for the members.
 struct QuotaFleet
 {
-    double Members = 1; // This instance.
+    double Members = 1; // Includes this instance.
     double Covered = 0;
 };
 
-static void AddMembersTo(QuotaFleet* fleet, const std::map<std::string, QuotaMember>& members)
+static void AddReportedMembers(QuotaFleet* fleet, const std::map<std::string, QuotaMember>& members)
 {
     for (const auto& entry : members)
     {
@@ -236,35 +237,35 @@
     }
 }
 
-static QuotaFleet FleetBelow(const Quota& quota, TimeUs now)
+static QuotaFleet SubtreeFleet(const Quota& quota, TimeUs now)
 {
     QuotaFleet fleet;
     const double up = static_cast<double>(now - quota.StartedUs) / static_cast<double>(quota.Config.WindowUs);
     fleet.Covered = std::clamp(up, 0.0, 1.0);
-    AddMembersTo(&fleet, quota.Followers);
+    AddReportedMembers(&fleet, quota.Followers);
     return fleet;
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Admitting
+// [SECTION] Admission
 //-----------------------------------------------------------------------------
 
-// Requests of a window that are aimed at.
-static double AimOf(const QuotaConfig& config, const QuotaLimit& limit)
+// Number of requests in a window that decisions aim for: the quota and a part of the tolerance.
+static double AdmissionGoal(const QuotaConfig& config, const QuotaLimit& limit)
 {
     const double quota = limit.RatePerS * static_cast<double>(config.WindowUs) * Seconds + limit.Burst;
-    return quota +
-           config.OverageUsed * (config.Overage * quota + std::min(config.Slack, quota)); // Who may ask for little gets little more.
+    return quota + config.OverageUsed *
+                       (config.Overage * quota + std::min(config.Slack, quota)); // Slack is bounded by the quota, for small quotas.
 }
 
-static double MembersOf(const Quota& quota)
+static double MemberCount(const Quota& quota)
 {
     const double now = quota.Decides ? quota.Members : quota.Config.MembersGuess;
     return quota.MembersMost > 0 ? quota.MembersMost : now;
 }
 
-// Nobody has told a decision for a while.
-static bool IsAlone(const Quota& quota, TimeUs now)
+// True if no decision was received recently and this instance is not a seed.
+static bool LacksDecision(const Quota& quota, TimeUs now)
 {
     return !quota.Decides && (quota.ToldUs == 0 || now - quota.ToldUs > quota.Config.MemberUs);
 }
@@ -279,7 +280,7 @@
     return admitted;
 }
 
-// Of every so many requests one is taken, beginning anywhere, so that the fleet's rounding errors cancel out.
+// Admits one of every 1/share requests. Starts at a random phase, so that the rounding errors of the instances cancel out.
 static bool TakeShare(QuotaUse* use, double share, Random* random)
 {
     if (share >= 1)
@@ -294,13 +295,14 @@
     return taken;
 }
 
-// Fills up what may be admitted without a decision: at first one request, or none in a large fleet, and then our part of the aim.
-static void FillAlone(const Quota& quota, QuotaUse* use, double part, TimeUs now, Random* random)
+// Refills the allowance at a rate of `part` requests per window, up to `part` or 1. The first time, it starts with one request, or, in a
+// large fleet, with one or none by chance.
+static void RefillAllowance(const Quota& quota, QuotaUse* use, double part, TimeUs now, Random* random)
 {
     const QuotaConfig& config = quota.Config;
     if (use->AloneUs == 0)
     {
-        const double chance = std::min(1.0, config.Slack / (config.CutOffShare * MembersOf(quota)));
+        const double chance = std::min(1.0, config.Slack / (config.CutOffShare * MemberCount(quota)));
         use->Alone = std::uniform_real_distribution<double>(0, 1)(*random) < chance ? 1 : 0;
         use->AloneUs = now;
     }
@@ -309,32 +311,32 @@
     use->AloneUs = now;
 }
 
-// Takes one of those that may be admitted without a decision.
-static bool TakeFilled(QuotaUse* use)
+// Takes one request from the allowance, if there is one.
+static bool TakeFromAllowance(QuotaUse* use)
 {
     const bool taken = use->Alone >= 1;
     use->Alone -= taken ? 1 : 0;
     return taken;
 }
 
-static bool TakeAlone(Quota* quota, QuotaUse* use, const QuotaLimit& limit, TimeUs now, Random* random)
+static bool TakeWithoutDecision(Quota* quota, QuotaUse* use, const QuotaLimit& limit, TimeUs now, Random* random)
 {
-    FillAlone(*quota, use, AimOf(quota->Config, limit) / MembersOf(*quota), now, random);
-    if (IsAlone(*quota, now) && use->ChargedUs != quota->ToldUs)
+    RefillAllowance(*quota, use, AdmissionGoal(quota->Config, limit) / MemberCount(*quota), now, random);
+    if (LacksDecision(*quota, now) && use->ChargedUs != quota->ToldUs)
     {
-        use->Alone -= AdmittedSince(*use, quota->Config, quota->ToldUs); // Nobody else knows of these.
+        use->Alone -= AdmittedSince(*use, quota->Config, quota->ToldUs); // The rest of the fleet doesn't know of these.
         use->ChargedUs = quota->ToldUs;
     }
-    return TakeFilled(use);
+    return TakeFromAllowance(use);
 }
 
-// For requests that may all come within less time than news take: besides its share, no instance admits more than a few times its even
-// part.
-static bool TakeShareOfPart(Quota* quota, QuotaUse* use, const QuotaLimit& limit, double share, TimeUs now, Random* random)
+// For bursts that are shorter than the delay of reports and decisions: applies the share, and limits the instance to StartParts times its
+// even part.
+static bool TakeShareWithinAllowance(Quota* quota, QuotaUse* use, const QuotaLimit& limit, double share, TimeUs now, Random* random)
 {
-    const double part = quota->Config.StartParts * AimOf(quota->Config, limit) / MembersOf(*quota);
-    FillAlone(*quota, use, part, now, random);
-    return use->Alone >= 1 && TakeShare(use, share, random) && TakeFilled(use);
+    const double part = quota->Config.StartParts * AdmissionGoal(quota->Config, limit) / MemberCount(*quota);
+    RefillAllowance(*quota, use, part, now, random);
+    return use->Alone >= 1 && TakeShare(use, share, random) && TakeFromAllowance(use);
 }
 
 static const QuotaDecision* FreshDecision(const Quota& quota, uint64_t id, TimeUs now)
@@ -350,12 +352,13 @@
     QuotaStep* step = StepAt(&use, quota->Config, now);
     step->Wanted++;
     const QuotaDecision* decision = FreshDecision(*quota, limit.Id, now);
-    const bool started = quota->Covered < quota->Config.StartCovered; // Nobody knows what it was admitted before the start of all.
+    const bool fleet_started = quota->Covered < quota->Config.StartCovered; // What was admitted before the fleet started is unknown.
     const double share = decision != nullptr ? decision->Share : 1;
-    const bool may_surge = started || share >= quota->Config.SurgeShare;
-    const bool taken = IsAlone(*quota, now) || (started && decision == nullptr) ? TakeAlone(quota, &use, limit, now, random)
-                       : may_surge                                              ? TakeShareOfPart(quota, &use, limit, share, now, random)
-                                                                                : TakeShare(&use, share, random);
+    const bool may_burst = fleet_started || share >= quota->Config.SurgeShare;
+    const bool taken = LacksDecision(*quota, now) || (fleet_started && decision == nullptr)
+                           ? TakeWithoutDecision(quota, &use, limit, now, random)
+                       : may_burst ? TakeShareWithinAllowance(quota, &use, limit, share, now, random)
+                                   : TakeShare(&use, share, random);
     step->Admitted += taken ? 1 : 0;
     return taken;
 }
@@ -379,25 +382,25 @@
         return;
     }
     const int64_t number = taken / StepUs(quota->Config);
-    QuotaStep* step = PlaceOf(&use->second, number);
+    QuotaStep* step = RingEntry(&use->second, number);
     step->Admitted -= step->Number == number && step->Admitted > 0 ? 1 : 0;
 }
 
 TimeUs QuotaReturnTime(const Quota& quota, uint64_t customer, Random* random)
 {
-    constexpr double least_share = 0.05; // Who has less is told no longer time: the window has changed by then.
+    constexpr double least_share = 0.05; // Lower bound of the share, which limits the delay.
     const auto found = quota.Shares.find(customer);
     const double share = found != quota.Shares.end() ? std::max(found->second.Share, least_share) : 0.5;
-    const double turn = static_cast<double>(UsPerSecond) * std::max(0.5, 0.5 / share); // About one in two of such callers has hope by then.
+    const double turn = static_cast<double>(UsPerSecond) * std::max(0.5, 0.5 / share); // A smaller share means a longer delay.
     return static_cast<TimeUs>(std::uniform_real_distribution<double>(0.8, 1.2)(*random) *
                                std::min(turn, static_cast<double>(quota.Config.WindowUs)));
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Deciding
+// [SECTION] Decisions
 //-----------------------------------------------------------------------------
 
-static void ForgetMembers(std::map<std::string, QuotaMember>* members, TimeUs until)
+static void RemoveExpiredMembers(std::map<std::string, QuotaMember>* members, TimeUs until)
 {
     for (auto member = members->begin(); member != members->end();)
     {
@@ -420,12 +423,12 @@
     return std::all_of(use.Counts.begin(), use.Counts.end(), old);
 }
 
-static void Forget(Quota* quota, TimeUs now)
+static void RemoveExpired(Quota* quota, TimeUs now)
 {
     const TimeUs until = now - quota->Config.MemberUs;
-    ForgetMembers(&quota->Followers, until);
-    ForgetMembers(&quota->Contacts, until);
-    ForgetNamed(quota, now);
+    RemoveExpiredMembers(&quota->Followers, until);
+    RemoveExpiredMembers(&quota->Contacts, until);
+    RemoveExpiredLimits(quota, now);
     for (auto share = quota->Shares.begin(); share != quota->Shares.end();)
     {
         share = share->second.AtUs < until ? quota->Shares.erase(share) : std::next(share);
@@ -436,8 +439,9 @@
     }
 }
 
-// What is left of a rate that was counted over one step, less what chance may have added: a few requests are no rise.
-static double SureRate(const QuotaConfig& config, double rate)
+// Lower bound of a rate that was counted over one step: subtracts two standard deviations, so that random variation of a few requests does
+// not count as an increase.
+static double RateLowerBound(const QuotaConfig& config, double rate)
 {
     constexpr double deviations = 2;
     const double step_s = static_cast<double>(StepUs(config)) * Seconds;
@@ -445,22 +449,23 @@
     return std::max(count - deviations * std::sqrt(count), 0.0) / step_s;
 }
 
-// The share of a customer's requests that brings its sum to the aim. `usable`: part of the quota that is ours to use; `covered`: part of
-// the window that is known.
-static double Decide(const QuotaConfig& config, const QuotaLimit& limit, const QuotaCount& count, double usable, double covered)
+// The share of requests to admit so that the sum of the window reaches the goal. `usable`: part of the quota that may be used, below 1 if
+// instances are missing; `covered`: part of the window that is covered by reports. Requests in the rest are assumed to equal the goal.
+static double ComputeShare(const QuotaConfig& config, const QuotaLimit& limit, const QuotaCount& count, double usable, double covered)
 {
-    const double aim = AimOf(config, limit) * usable;
-    const double unknown = aim * (1 - covered);
-    const double even = aim / (static_cast<double>(config.WindowUs) * Seconds);
-    const double leaving = std::min(count.Leaving + even * (1 - covered), even); // What came as a burst is not to come as one again.
-    const double correction = (aim - count.Admitted - unknown) / (static_cast<double>(config.CorrectUs) * Seconds);
+    const double goal = AdmissionGoal(config, limit) * usable;
+    const double unknown = goal * (1 - covered);
+    const double even = goal / (static_cast<double>(config.WindowUs) * Seconds);
+    const double leaving = std::min(count.Leaving + even * (1 - covered),
+                                    even); // Bounded by the even rate, so that a burst that expires is not admitted as a burst again.
+    const double correction = (goal - count.Admitted - unknown) / (static_cast<double>(config.CorrectUs) * Seconds);
     const double rate = std::max(leaving + correction, 0.0);
-    const double wanted = std::max(count.Wanted, SureRate(config, count.Rising));
+    const double wanted = std::max(count.Wanted, RateLowerBound(config, count.Rising));
     return rate >= wanted ? 1 : rate / wanted;
 }
 
-// Whether it should be told at once: it falls, or ends.
-static bool Moves(double before, double after)
+// Whether a change of a share should be sent at once: it falls much, or the limitation ends.
+static bool IsSignificantChange(double before, double after)
 {
     return after < before - ShareStep || (after >= 1 && before < 1);
 }
@@ -475,16 +480,16 @@
     }
     else if (before < 1)
     {
-        known->second = {1, now}; // Kept until all have heard that it is free again.
+        known->second = {1, now}; // Kept until it expires, so that all instances learn of it.
     }
-    return Moves(before, share);
+    return IsSignificantChange(before, share);
 }
 
-static void TakeMost(Quota* quota, const QuotaMost& most, TimeUs now)
+static void UpdateFleetSize(Quota* quota, const QuotaMost& most, TimeUs now)
 {
-    const bool sane = IsCount(most.Members) && most.Members >= 1 && most.AgeUs >= 0 && most.AgeUs <= quota->Config.MembersKeptUs;
+    const bool valid = IsValidCount(most.Members) && most.Members >= 1 && most.AgeUs >= 0 && most.AgeUs <= quota->Config.MembersKeptUs;
     const bool forgotten = now - quota->MembersMostUs > quota->Config.MembersKeptUs;
-    if (sane && (forgotten || most.Members >= quota->MembersMost))
+    if (valid && (forgotten || most.Members >= quota->MembersMost))
     {
         const bool same = !forgotten && most.Members == quota->MembersMost;
         quota->MembersMost = most.Members;
@@ -492,36 +497,35 @@
     }
 }
 
-// An instance that follows another one than before is counted twice until its former report lapses: what counts is the least of a time that
-// is longer.
-static void TakeSteady(Quota* quota, double members, TimeUs now)
+// An instance that changes its source is counted twice until its former report expires. So the minimum over a longer period is used.
+static void UpdateStableFleetSize(Quota* quota, double members, TimeUs now)
 {
     quota->MembersLow = quota->MembersLowUs > 0 ? std::min(quota->MembersLow, members) : members;
     quota->MembersLowUs = quota->MembersLowUs > 0 ? quota->MembersLowUs : now;
     if (now - quota->MembersLowUs > 2 * quota->Config.MemberUs)
     {
-        TakeMost(quota, {quota->MembersLow, 0}, now);
+        UpdateFleetSize(quota, {quota->MembersLow, 0}, now);
         quota->MembersLow = members;
         quota->MembersLowUs = now;
     }
 }
 
-static QuotaMost MostOf(const Quota& quota, TimeUs now)
+static QuotaMost FleetSizeOf(const Quota& quota, TimeUs now)
 {
     return {quota.MembersMost, now - quota.MembersMostUs};
 }
 
-static QuotaFleet FleetOf(Quota* quota, TimeUs now)
+static QuotaFleet UpdateFleet(Quota* quota, TimeUs now)
 {
-    QuotaFleet fleet = FleetBelow(*quota, now);
-    AddMembersTo(&fleet, quota->Contacts);
-    TakeSteady(quota, fleet.Members, now);
+    QuotaFleet fleet = SubtreeFleet(*quota, now);
+    AddReportedMembers(&fleet, quota->Contacts);
+    UpdateStableFleetSize(quota, fleet.Members, now);
     quota->Members = fleet.Members;
     quota->Covered = std::min(fleet.Covered / fleet.Members, 1.0);
     return fleet;
 }
 
-// What is known of the limit under an id; none: there is no limit.
+// Returns the limit for an id, or none.
 using LimitLookup = std::function<std::optional<QuotaLimit>(uint64_t)>;
 
 static bool DecideAll(Quota* quota, const LimitLookup& limit_of, TimeUs now)
@@ -531,16 +535,16 @@
         return false;
     }
     quota->DecidedUs = now;
-    Forget(quota, now);
+    RemoveExpired(quota, now);
     if (!quota->Decides)
     {
         return false;
     }
-    const QuotaFleet fleet = FleetOf(quota, now);
-    QuotaSums sums = SumsBelow(*quota, now);
-    AddMembers(&sums, quota->Contacts);
+    const QuotaFleet fleet = UpdateFleet(quota, now);
+    QuotaSums sums = SubtreeSums(*quota, now);
+    AddReportedCounts(&sums, quota->Contacts);
     const double usable = quota->MembersMost > 0 ? std::min(fleet.Members / quota->MembersMost, 1.0) : 1;
-    bool moved = false;
+    bool changed_much = false;
     for (auto& entry : quota->Shares)
     {
         const bool idle = entry.second.Share < 1 && sums.count(entry.first) == 0;
@@ -549,10 +553,10 @@
     for (const auto& [id, count] : sums)
     {
         const std::optional<QuotaLimit> limit = limit_of(id);
-        const double share = limit ? Decide(quota->Config, *limit, count, usable, quota->Covered) : 1;
-        moved = SetShare(quota, id, share, now) || moved;
+        const double share = limit ? ComputeShare(quota->Config, *limit, count, usable, quota->Covered) : 1;
+        changed_much = SetShare(quota, id, share, now) || changed_much;
     }
-    return moved;
+    return changed_much;
 }
 
 bool QuotaDecide(Quota* quota, const Customers& customers, TimeUs now)
@@ -577,7 +581,7 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Telling
+// [SECTION] Reports and answers
 //-----------------------------------------------------------------------------
 
 TimeUs QuotaReportIn(const Quota& quota)
@@ -586,68 +590,69 @@
     return forwards ? quota.Config.ForwardUs : quota.Config.ReportUs;
 }
 
-// Adds named limits to messages, each of which holds a packet's worth.
-template <class T> static void AppendNamed(const Quota& quota, std::vector<T>* messages, size_t in_last, TimeUs now)
+// Appends the limits of targets to the messages; adds messages when one is full. `in_last`: entries in the last message.
+template <class T> static void AppendLimits(const Quota& quota, std::vector<T>* messages, size_t in_last, TimeUs now)
 {
-    for (const NamedLimitNews& news : NamedNews(quota, now))
+    for (const NamedLimitNews& update : LimitUpdates(quota, now))
     {
-        if (in_last == EntriesMost)
+        if (in_last == EntriesMax)
         {
             messages->emplace_back();
             in_last = 0;
         }
-        messages->back().Named.push_back(news);
+        messages->back().Named.push_back(update);
         in_last++;
     }
 }
 
 std::vector<QuotaReport> QuotaReports(const Quota& quota, TimeUs now)
 {
-    const QuotaFleet fleet = FleetBelow(quota, now);
+    const QuotaFleet fleet = SubtreeFleet(quota, now);
     std::vector<QuotaReport> reports(1);
-    for (const auto& [customer, count] : SumsBelow(quota, now))
+    for (const auto& [customer, count] : SubtreeSums(quota, now))
     {
         if (count.Admitted == 0 && count.Wanted == 0)
         {
             continue;
         }
-        if (reports.back().Entries.size() == EntriesMost)
+        if (reports.back().Entries.size() == EntriesMax)
         {
             reports.emplace_back();
         }
         reports.back().Entries.push_back({customer, count});
     }
-    AppendNamed(quota, &reports, reports.back().Entries.size(), now);
+    AppendLimits(quota, &reports, reports.back().Entries.size(), now);
     for (QuotaReport& report : reports)
     {
-        report.Most = MostOf(quota, now);
+        report.Most = FleetSizeOf(quota, now);
         report.Members = fleet.Members;
         report.Covered = fleet.Covered;
     }
     return reports;
 }
 
-static bool IsSane(const QuotaReport& report)
+static bool IsValid(const QuotaReport& report)
 {
-    const auto sane = [](const QuotaReportEntry& entry)
+    const auto valid = [](const QuotaReportEntry& entry)
     {
-        return IsCount(entry.Count.Admitted) && IsCount(entry.Count.Leaving) && IsCount(entry.Count.Wanted) && IsCount(entry.Count.Rising);
+        return IsValidCount(entry.Count.Admitted) && IsValidCount(entry.Count.Leaving) && IsValidCount(entry.Count.Wanted) &&
+               IsValidCount(entry.Count.Rising);
     };
-    const bool whole = std::all_of(report.Entries.begin(), report.Entries.end(), sane);
-    return whole && IsCount(report.Members) && IsCount(report.Covered);
+    const bool whole = std::all_of(report.Entries.begin(), report.Entries.end(), valid);
+    return whole && IsValidCount(report.Members) && IsValidCount(report.Covered);
 }
 
 bool QuotaHeardReport(Quota* quota, const std::string& from, const QuotaReport& report, bool contact, TimeUs now)
 {
-    if (!IsSane(report) || (contact && !quota->Decides))
+    if (!IsValid(report) || (contact && !quota->Decides))
     {
         return false;
     }
     QuotaMember& member = (contact ? quota->Contacts : quota->Followers)[from];
     const bool unknown = member.HeardUs == 0;
-    TakeMost(quota, report.Most, now);
-    HearNamed(quota, report.Named, now);
-    (contact ? quota->Followers : quota->Contacts).erase(from); // It has become the other.
+    UpdateFleetSize(quota, report.Most, now);
+    ApplyLimitUpdates(quota, report.Named, now);
+    (contact ? quota->Followers : quota->Contacts).erase(from); // It may have become a seed, or ceased to be one.
     member.HeardUs = now;
     member.Members = report.Members;
     member.Covered = report.Covered;
@@ -661,23 +666,23 @@
 std::vector<QuotaAnswer> QuotaAnswers(const Quota& quota, TimeUs now)
 {
     const bool undecided = quota.Decides && quota.DecidedUs == 0;
-    if (IsAlone(quota, now) || undecided)
+    if (LacksDecision(quota, now) || undecided)
     {
         return {};
     }
     std::vector<QuotaAnswer> answers(1);
     for (const auto& [customer, decision] : quota.Shares)
     {
-        if (answers.back().Shares.size() == EntriesMost)
+        if (answers.back().Shares.size() == EntriesMax)
         {
             answers.emplace_back();
         }
         answers.back().Shares.push_back({customer, decision.Share});
     }
-    AppendNamed(quota, &answers, answers.back().Shares.size(), now);
+    AppendLimits(quota, &answers, answers.back().Shares.size(), now);
     for (QuotaAnswer& answer : answers)
     {
-        answer.Most = MostOf(quota, now);
+        answer.Most = FleetSizeOf(quota, now);
         answer.Covered = quota.Covered;
     }
     return answers;
@@ -685,23 +690,23 @@
 
 bool QuotaHeardAnswer(Quota* quota, const QuotaAnswer& answer, TimeUs now)
 {
-    if (quota->Decides || !IsCount(answer.Covered))
+    if (quota->Decides || !IsValidCount(answer.Covered))
     {
         return false;
     }
-    bool moved = IsAlone(*quota, now);
+    bool forward = LacksDecision(*quota, now);
     quota->ToldUs = now;
-    TakeMost(quota, answer.Most, now);
-    moved = HearNamed(quota, answer.Named, now) || moved;
+    UpdateFleetSize(quota, answer.Most, now);
+    forward = ApplyLimitUpdates(quota, answer.Named, now) || forward;
     quota->Covered = answer.Covered;
     for (const QuotaShare& told : answer.Shares)
     {
-        if (IsCount(told.Share) && told.Share <= 1)
+        if (IsValidCount(told.Share) && told.Share <= 1)
         {
-            moved = SetShare(quota, told.Customer, told.Share, now) || moved;
+            forward = SetShare(quota, told.Customer, told.Share, now) || forward;
         }
     }
-    return moved;
+    return forward;
 }
 
 } // namespace Winchlink
