--- a/gateway/command_check.cpp
+++ b/gateway/command_check.cpp
@@ -1,4 +1,4 @@
-// command_check.cpp: winchlink check: what operators run before they publish a table or start an instance.
+// command_check.cpp: winchlink check: validates tables and settings files, before a table is published or an instance is started.
 
 #include "commands.h"
 #include "options.h"
@@ -11,7 +11,7 @@
 namespace Winchlink
 {
 
-// A document with a key "rows" is meant as a table, any other as settings.
+// A document with a key "rows" is checked as a table, any other as settings.
 static bool LooksLikeTable(const std::string& json)
 {
     std::vector<Fault> faults;
--- a/gateway/command_lift.cpp
+++ b/gateway/command_lift.cpp
@@ -1,6 +1,6 @@
-// command_lift.cpp: winchlink lift: lets a request go that is held because targets ended under it.
+// command_lift.cpp: winchlink lift: ends the quarantine of a request under which targets crashed.
 //
-// Any instance may be asked; it tells the others. What the request ends after that counts anew.
+// The command may be sent to any instance, which informs the others. Crashes after that are counted from zero.
 
 #include "commands.h"
 #include "options.h"
@@ -26,19 +26,19 @@
 {
     const poptOption table[] = {OPTIONS_TAIL};
     const ParsedOptions parsed =
-        ParseOptions("winchlink lift", argc, argv, table, "ADDRESS (an instance's metricsAddress) REQUEST (see status)");
+        ParseOptions("winchlink lift", argc, argv, table, "ADDRESS (an instance's metricsAddress) REQUEST (key as shown by status)");
     if (parsed.Exit)
     {
         return *parsed.Exit;
     }
-    const std::vector<std::string>& words = parsed.Arguments;
-    if (words.size() != 2 || !IsAddress(words[0]) || !IsRequestKey(words[1]))
+    const std::vector<std::string>& arguments = parsed.Arguments;
+    if (arguments.size() != 2 || !IsAddress(arguments[0]) || !IsRequestKey(arguments[1]))
     {
-        fmt::print(stderr, "winchlink lift: code {}: name an address, IP:port, and a request as status shows it\n",
+        fmt::print(stderr, "winchlink lift: code {}: expected an address (IP:port) and a request key as shown by status\n",
                    static_cast<int>(Code_Usage));
         return Exit_Usage;
     }
-    const Result<std::string> answer = AskPage(words[0], "POST", "/lift?request=" + words[1]);
+    const Result<std::string> answer = FetchPage(arguments[0], "POST", "/lift?request=" + arguments[1]);
     if (!answer)
     {
         fmt::print(stderr, "winchlink lift: code {}: {}\n", static_cast<int>(answer.error().Code), answer.error().Detail);
--- a/gateway/command_serve.cpp
+++ b/gateway/command_serve.cpp
@@ -1,6 +1,6 @@
-// command_serve.cpp: winchlink serve and winchlink gateway: run an instance until a signal ends it.
+// command_serve.cpp: winchlink serve and winchlink gateway: run an instance until a signal stops it.
 //
-// Both are the same program; they differ in the adapter: a table of rows, or the users' platform.
+// They differ only in the adapter for configuration and headers: a table of rows, or the users' platform.
 
 #include "commands.h"
 #include "gateway.h"
@@ -15,7 +15,7 @@
 namespace Winchlink
 {
 
-static constexpr const char* SettingsVariable = "WINCHLINK_BOOT"; // Names the settings file where the command line does not.
+static constexpr const char* SettingsVariable = "WINCHLINK_BOOT"; // Path of the settings file, if --settings is not given.
 
 static int Serve(const std::string& file, const Settings& settings, const Adapter& adapter)
 {
@@ -34,7 +34,7 @@
     Log(LogLevel_Info, Code_None, "started", {{"version", Version}, {"instance", settings.Instance}});
     const int cut = GatewayRun(&gateway);
     Log(LogLevel_Info, cut > 0 ? Code_ForcedStop : Code_None, "stopped", {{"cut", cut}});
-    _exit(cut > 0 ? Exit_Cut : Exit_Good); // Requests in progress still hold on to parts of the instance.
+    _exit(cut > 0 ? Exit_Cut : Exit_Good); // Skips destructors: requests in progress still refer to parts of the instance.
 }
 
 static int CheckAndServe(const std::string& file, bool check_only, const Adapter& adapter)
@@ -61,7 +61,7 @@
     char* file = nullptr;
     int check_only = 0;
     const poptOption table[] = {{"settings", 's', POPT_ARG_STRING, &file, 0, "settings of this instance (JSON)", "FILE"},
-                                {"check", 'c', POPT_ARG_NONE, &check_only, 0, "only check the settings", nullptr},
+                                {"check", 'c', POPT_ARG_NONE, &check_only, 0, "check the settings and exit", nullptr},
                                 OPTIONS_TAIL};
     const ParsedOptions parsed = ParseOptions(name, argc, argv, table, "[--check] [--settings FILE]");
     const std::unique_ptr<char, decltype(&free)> owner(file, free);
@@ -72,7 +72,7 @@
     const char* named = file != nullptr ? file : std::getenv(SettingsVariable);
     if (named == nullptr || !parsed.Arguments.empty())
     {
-        fmt::print(stderr, "{}: code {}: --settings FILE is needed (or {} in the environment), and nothing else\n", name,
+        fmt::print(stderr, "{}: code {}: expected --settings FILE (or {} in the environment) and no other arguments\n", name,
                    static_cast<int>(Code_Usage), SettingsVariable);
         return Exit_Usage;
     }
--- a/gateway/command_status.cpp
+++ b/gateway/command_status.cpp
@@ -1,7 +1,7 @@
-// command_status.cpp: winchlink status: what an operator wants to see at three in the morning.
+// command_status.cpp: winchlink status: prints the state of an instance for operators.
 //
-// Reads the instance's /status page and prints the parts in the order in which one asks: is it serving, with which plan, does it hear the
-// store, and which target does not get work and why.
+// Reads the instance's /status page and prints the state of the instance, its plan, its connection to the store, evacuations, refused
+// entries, held requests, and each service with its targets.
 
 #include "commands.h"
 #include "options.h"
@@ -141,7 +141,7 @@
 int RunStatus(int argc, const char** argv)
 {
     int as_json = 0;
-    const poptOption table[] = {{"json", 'j', POPT_ARG_NONE, &as_json, 0, "print the page as it is", nullptr}, OPTIONS_TAIL};
+    const poptOption table[] = {{"json", 'j', POPT_ARG_NONE, &as_json, 0, "print the JSON of the page", nullptr}, OPTIONS_TAIL};
     const ParsedOptions parsed = ParseOptions("winchlink status", argc, argv, table, "ADDRESS (the instance's metricsAddress)");
     if (parsed.Exit)
     {
@@ -149,10 +149,10 @@
     }
     if (parsed.Arguments.size() != 1 || !IsAddress(parsed.Arguments[0]))
     {
-        fmt::print(stderr, "winchlink status: code {}: name one address, IP:port\n", static_cast<int>(Code_Usage));
+        fmt::print(stderr, "winchlink status: code {}: expected one address (IP:port)\n", static_cast<int>(Code_Usage));
         return Exit_Usage;
     }
-    const Result<std::string> body = AskPage(parsed.Arguments[0], "GET", "/status");
+    const Result<std::string> body = FetchPage(parsed.Arguments[0], "GET", "/status");
     if (!body)
     {
         fmt::print(stderr, "winchlink status: code {}: {}\n", static_cast<int>(body.error().Code), body.error().Detail);
--- a/gateway/page_client.cpp
+++ b/gateway/page_client.cpp
@@ -1,4 +1,4 @@
-// page_client.cpp: how the commands for operators ask an instance.
+// page_client.cpp: HTTP client of the operators' commands.
 
 #include "page_client.h"
 
@@ -10,9 +10,9 @@
 {
 
 static constexpr TimeUs PageTimeoutUs = 3 * UsPerSecond;
-static constexpr size_t PageMost = 64 * MiB;
+static constexpr size_t PageMax = 64 * MiB;
 
-Result<std::string> AskPage(const std::string& address, const std::string& method, const std::string& target)
+Result<std::string> FetchPage(const std::string& address, const std::string& method, const std::string& target)
 {
     EventLoop loop;
     Client client;
@@ -23,7 +23,7 @@
     request.Target = target;
     request.HasBody = method == "POST";
     request.TimeoutUs = PageTimeoutUs;
-    request.AnswerMost = PageMost;
+    request.AnswerMost = PageMax;
     ClientAnswer answer = ClientAsk(&client, std::move(request));
     if (answer.End != ClientEnd_Answered)
     {
--- a/gateway/page_client.h
+++ b/gateway/page_client.h
@@ -1,4 +1,4 @@
-// page_client.h: how the commands for operators ask an instance.
+// page_client.h: HTTP client of the operators' commands (status, lift).
 
 #pragma once
 
@@ -8,9 +8,9 @@
 {
 
 inline constexpr const char* LiftedText = "lifted\n";    // Answer of POST /lift?request=KEY.
-inline constexpr const char* NotHeldText = "not held\n"; // The same: nothing counted against it.
+inline constexpr const char* NotHeldText = "not held\n"; // The same, if the request was not held.
 
-// The body of the page, or Code_StatusUnreachable. `address`: IP:port of the instance's operators' pages.
-Result<std::string> AskPage(const std::string& address, const std::string& method, const std::string& target);
+// Sends a request and returns the body of the answer, or Code_StatusUnreachable. `address`: the instance's metricsAddress.
+Result<std::string> FetchPage(const std::string& address, const std::string& method, const std::string& target);
 
 } // namespace Winchlink
--- a/gateway/pages.cpp
+++ b/gateway/pages.cpp
@@ -1,4 +1,4 @@
-// pages.cpp: what an instance tells its operators.
+// pages.cpp: the pages for operators.
 //
 // Index of this file:
 // [SECTION] Metrics
@@ -59,13 +59,13 @@
     return text + fmt::format("winchlink_store_failures {}\n", store.CallsFailed);
 }
 
-// One line for each data centre that an operator has ever named: 1 while it is evacuated.
+// One line for each data centre with a known evacuation entry: 1 while it is evacuated.
 static std::string EvacuationsText(const TargetDirectory& directory)
 {
     std::string text;
-    for (const auto& [data_centre, word] : directory.Evacuations)
+    for (const auto& [data_centre, evacuation] : directory.Evacuations)
     {
-        text += fmt::format("winchlink_evacuated{{dataCentre=\"{}\"}} {}\n", data_centre, word.InForce ? 1 : 0);
+        text += fmt::format("winchlink_evacuated{{dataCentre=\"{}\"}} {}\n", data_centre, evacuation.InForce ? 1 : 0);
     }
     return text;
 }
@@ -146,8 +146,8 @@
     return json_integer(time / UsPerMs);
 }
 
-// Why a target gets work, or why not.
-static std::string WhyOf(const TargetPool& pool, const PoolTarget& target, TimeUs now)
+// Whether and why a target is used or avoided, for people.
+static std::string TargetReason(const TargetPool& pool, const PoolTarget& target, TimeUs now)
 {
     if (!PoolMayUse(target, now))
     {
@@ -179,7 +179,7 @@
     json_object_set_new(object, "id", JsonText(target.Id));
     json_object_set_new(object, "address", JsonText(target.Address));
     json_object_set_new(object, "near", json_boolean(target.Near));
-    json_object_set_new(object, "why", JsonText(WhyOf(pool, target, now)));
+    json_object_set_new(object, "why", JsonText(TargetReason(pool, target, now)));
     json_object_set_new(object, "inFlight", json_integer(target.InFlight));
     json_object_set_new(object, "running", json_integer(target.Report.Running));
     json_object_set_new(object, "slots", json_integer(target.Slots));
@@ -262,13 +262,13 @@
 static json_t* JsonOfEvacuations(const TargetDirectory& directory)
 {
     json_t* list = json_array();
-    for (const auto& [data_centre, word] : directory.Evacuations)
+    for (const auto& [data_centre, evacuation] : directory.Evacuations)
     {
-        if (word.InForce)
+        if (evacuation.InForce)
         {
             json_t* object = json_object();
             json_object_set_new(object, "dataCentre", JsonText(data_centre));
-            json_object_set_new(object, "revision", JsonNumber(word.Revision));
+            json_object_set_new(object, "revision", JsonNumber(evacuation.Revision));
             json_array_append_new(list, object);
         }
     }
--- a/gateway/pages.h
+++ b/gateway/pages.h
@@ -1,5 +1,5 @@
-// pages.h: what an instance tells its operators: counters and histograms in the common text format, and its state as JSON, which
-// `winchlink status` prints.
+// pages.h: the pages for operators: metrics in the Prometheus text format, and the state of the instance as JSON, which `winchlink status`
+// prints.
 
 #pragma once
 
@@ -8,8 +8,10 @@
 namespace Winchlink
 {
 
+// Body of the metrics page.
 std::string MetricsText(const Gateway& gateway);
 
+// Body of /status: a JSON object.
 std::string StatusText(const Gateway& gateway);
 
 } // namespace Winchlink
--- a/winchlink_budget.cpp
+++ b/winchlink_budget.cpp
@@ -1,4 +1,4 @@
-// winchlink_budget.cpp: the budget of repeated sends.
+// winchlink_budget.cpp: the retry budget.
 
 #include "winchlink.h"
 
@@ -10,8 +10,8 @@
     return at / (budget.WindowUs / static_cast<TimeUs>(RepeatBudget::Steps));
 }
 
-// The ring's place for the step, whichever step it counts now.
-static RepeatBudget::Step* PlaceOf(RepeatBudget* budget, int64_t number)
+// The ring entry for the step; it may still hold an older one.
+static RepeatBudget::Step* RingEntry(RepeatBudget* budget, int64_t number)
 {
     return &budget->Counts[static_cast<size_t>(number) % budget->Counts.size()];
 }
@@ -19,7 +19,7 @@
 static RepeatBudget::Step* StepAt(RepeatBudget* budget, TimeUs now)
 {
     const int64_t number = StepNumber(*budget, now);
-    RepeatBudget::Step* step = PlaceOf(budget, number);
+    RepeatBudget::Step* step = RingEntry(budget, number);
     if (step->Number != number)
     {
         *step = RepeatBudget::Step{number, 0, 0};
@@ -37,15 +37,16 @@
     RepeatBudget::Step* current = StepAt(budget, now);
     const auto steps = static_cast<int64_t>(RepeatBudget::Steps);
     int requests = 0;
-    int repeats = 0;
+    int retries = 0;
     for (const RepeatBudget::Step& step : budget->Counts)
     {
         const int64_t age = current->Number - step.Number;
-        // The window may begin anywhere within a step: such a step counts for the repeats and not for the requests.
+        // The oldest step lies only partly in the window. It counts for the retries but not for the requests, so that the share is never
+        // exceeded.
         requests += step.Number >= 0 && age < steps ? step.Requests : 0;
-        repeats += step.Number >= 0 && age <= steps ? step.Repeats : 0;
+        retries += step.Number >= 0 && age <= steps ? step.Repeats : 0;
     }
-    if (repeats + 1 > part * (budget->Share * requests + budget->Extra))
+    if (retries + 1 > part * (budget->Share * requests + budget->Extra))
     {
         return false;
     }
@@ -56,8 +57,8 @@
 void RepeatBudgetReturn(RepeatBudget* budget, TimeUs taken)
 {
     const int64_t number = StepNumber(*budget, taken);
-    RepeatBudget::Step* step = PlaceOf(budget, number);
-    const bool still_counted = step->Number == number && step->Repeats > 0; // Else it is too long ago to count.
+    RepeatBudget::Step* step = RingEntry(budget, number);
+    const bool still_counted = step->Number == number && step->Repeats > 0; // Else the entry has been reused.
     step->Repeats -= still_counted ? 1 : 0;
 }
 
--- a/winchlink_codes.cpp
+++ b/winchlink_codes.cpp
@@ -1,6 +1,6 @@
 // winchlink_codes.cpp: the numbered result codes.
 //
-// One list, from which logs, answers to callers and the test of docs/CODES.md are made.
+// The only list of codes; logs, answers to callers and the test of docs/CODES.md use it.
 //
 // Index of this file:
 // [SECTION] The list
--- a/winchlink_customers.cpp
+++ b/winchlink_customers.cpp
@@ -1,4 +1,4 @@
-// winchlink_customers.cpp: customers and the hashes of their keys.
+// winchlink_customers.cpp: customers, and lookup by the hashes of their keys.
 
 #include "winchlink_internal.h"
 
@@ -66,7 +66,7 @@
     const size_t index = customers->List.size();
     if (!customers->ById.emplace(customer.Id, index).second)
     {
-        return Error{Code_PlatformBadAnswer, "customer " + customer.Name + ": another one has its name"};
+        return Error{Code_PlatformBadAnswer, "customer " + customer.Name + ": duplicate name"};
     }
     for (const KeyHash& key : customer.Keys)
     {
@@ -74,14 +74,14 @@
         if (!added.second && added.first->second != index)
         {
             return Error{Code_PlatformBadAnswer,
-                         "customer " + customer.Name + ": it has a key of " + customers->List[added.first->second].Name};
+                         "customer " + customer.Name + ": shares a key with customer " + customers->List[added.first->second].Name};
         }
     }
     customers->List.push_back(std::move(customer));
     return BOOST_OUTCOME_V2_NAMESPACE::success();
 }
 
-// What is compared are hashes: how far two of them agree says nothing of the key.
+// No constant-time comparison is needed: only hashes are compared, and a partial match reveals nothing about the key.
 const Customer* FindCustomer(const Customers& customers, const KeyHash& key)
 {
     const auto found = customers.ByKey.find(key);
