--- a/daemon/clock.h
+++ b/daemon/clock.h
@@ -1,6 +1,6 @@
 // clock.h: the clocks of an instance.
 //
-// Everything that decides takes time as an argument; these are read at the edges only.
+// The library (winchlink.h) gets the time as an argument; only the daemon's I/O code reads clocks.
 
 #pragma once
 
@@ -18,13 +18,13 @@
     return static_cast<TimeUs>(now.tv_sec) * UsPerSecond + now.tv_nsec / 1000;
 }
 
-// Counts while the machine sleeps and the process is stopped; never jumps back.
+// Monotonic clock; also advances while the machine sleeps or the process is stopped.
 inline TimeUs NowUs()
 {
     return ReadClock(CLOCK_BOOTTIME);
 }
 
-// Wall clock, for people.
+// Wall clock, for log lines.
 inline TimeUs WallUs()
 {
     return ReadClock(CLOCK_REALTIME);
--- a/daemon/commands.h
+++ b/daemon/commands.h
@@ -1,6 +1,6 @@
 // commands.h: the subcommands of the winchlink program.
 //
-// Each takes the arguments after its own name, and returns the exit code of the process (docs/OPERATORS.md).
+// Each takes argc and argv starting with its own name, and returns the exit code of the process (docs/OPERATORS.md).
 
 #pragma once
 
@@ -10,10 +10,10 @@
 enum Exit_ : int
 {
     Exit_Good = 0,
-    Exit_Faults = 1, // check: faults were found; status: not serving; lift: not held.
-    Exit_Usage = 2,  // The command line can't be understood, or a file not read.
-    Exit_Start = 3,  // serve, gateway: can't start.
-    Exit_Cut = 4,    // serve, gateway: ended with requests in progress.
+    Exit_Faults = 1,     // check: faults were found; status: not serving; lift: not held.
+    Exit_Usage = 2,      // Invalid command line, unreadable file or unreachable instance.
+    Exit_Start = 3,      // serve, gateway: start failed.
+    Exit_ForcedStop = 4, // serve, gateway: stopped by force while requests were in progress.
     Exit_COUNT,
 };
 
--- a/daemon/log.cpp
+++ b/daemon/log.cpp
@@ -16,7 +16,7 @@
 namespace Winchlink
 {
 
-static std::atomic<int> LeastLevel{LogLevel_Info};
+static std::atomic<int> MinLevel{LogLevel_Info};
 
 static const std::array<const char*, LogLevel_COUNT> LevelNames = {"debug", "info", "warn", "error"};
 
@@ -39,7 +39,7 @@
 
 void SetLogLevel(LogLevel_ level)
 {
-    LeastLevel = level;
+    MinLevel = level;
 }
 
 LogField::LogField(const char* key, const std::string& text) : Key(key), Value(DumpJson(JsonText(text), JSON_ENCODE_ANY))
@@ -62,26 +62,26 @@
 {
 }
 
-static std::mutex Allowances; // Guards the next two.
-static LogAllowance AllLines = {LogLinesPerSecond, 2 * LogLinesPerSecond, 0, 0};
-static LogAllowance Samples = {LogSamplesPerSecond, 2 * LogSamplesPerSecond, 0, 0};
+static std::mutex Limits; // Guards AllLines and Samples.
+static LogRateLimit AllLines = {LogLinesPerSecond, 2 * LogLinesPerSecond, 0, 0};
+static LogRateLimit Samples = {LogSamplesPerSecond, 2 * LogSamplesPerSecond, 0, 0};
 
-bool LogAllowanceTake(LogAllowance* allowance, TimeUs now)
+bool LogRateLimitTake(LogRateLimit* limit, TimeUs now)
 {
-    const double most = 2 * allowance->PerSecond;
-    const double since = static_cast<double>(now - allowance->FilledUs) / static_cast<double>(UsPerSecond);
-    allowance->Lines = std::min(most, allowance->Lines + std::max(since, 0.0) * allowance->PerSecond);
-    allowance->FilledUs = now;
-    if (allowance->Lines < 1)
+    const double max_lines = 2 * limit->PerSecond;
+    const double since = static_cast<double>(now - limit->RefilledUs) / static_cast<double>(UsPerSecond);
+    limit->Lines = std::min(max_lines, limit->Lines + std::max(since, 0.0) * limit->PerSecond);
+    limit->RefilledUs = now;
+    if (limit->Lines < 1)
     {
-        allowance->LeftOut++;
+        limit->Dropped++;
         return false;
     }
-    allowance->Lines -= 1;
+    limit->Lines -= 1;
     return true;
 }
 
-// False if the line was not written whole: nobody reads, or not fast enough.
+// Writes without blocking. False if the line was not written in full: standard output is not read, or not fast enough.
 static bool WriteLine(const std::string& line)
 {
     pollfd out = {STDOUT_FILENO, POLLOUT, 0};
@@ -89,7 +89,7 @@
     return ready && write(STDOUT_FILENO, line.data(), line.size()) == static_cast<ssize_t>(line.size());
 }
 
-static std::string FormatLine(LogLevel_ level, Code_ code, const char* event, const std::vector<LogField>& fields, uint64_t left_out)
+static std::string FormatLine(LogLevel_ level, Code_ code, const char* event, const std::vector<LogField>& fields, uint64_t dropped)
 {
     const TimeUs wall = WallUs();
     const std::time_t seconds = wall / UsPerSecond;
@@ -99,37 +99,37 @@
     {
         line += fmt::format(",\"{}\":{}", field.Key, field.Value);
     }
-    line += left_out > 0 ? fmt::format(",\"leftOut\":{}", left_out) : "";
+    line += dropped > 0 ? fmt::format(",\"leftOut\":{}", dropped) : "";
     return line + "}\n";
 }
 
-static void WriteWithin(LogAllowance* allowance, LogLevel_ level, Code_ code, const char* event, const std::vector<LogField>& fields)
+static void WriteLimited(LogRateLimit* limit, LogLevel_ level, Code_ code, const char* event, const std::vector<LogField>& fields)
 {
-    if (level < LeastLevel)
+    if (level < MinLevel)
     {
         return;
     }
-    const std::lock_guard<std::mutex> lock(Allowances);
-    if (!LogAllowanceTake(allowance, NowUs()))
+    const std::lock_guard<std::mutex> lock(Limits);
+    if (!LogRateLimitTake(limit, NowUs()))
     {
         return;
     }
-    if (!WriteLine(FormatLine(level, code, event, fields, allowance->LeftOut)))
+    if (!WriteLine(FormatLine(level, code, event, fields, limit->Dropped)))
     {
-        allowance->LeftOut++;
+        limit->Dropped++;
         return;
     }
-    allowance->LeftOut = 0;
+    limit->Dropped = 0;
 }
 
 void Log(LogLevel_ level, Code_ code, const char* event, const std::vector<LogField>& fields)
 {
-    WriteWithin(&AllLines, level, code, event, fields);
+    WriteLimited(&AllLines, level, code, event, fields);
 }
 
 void LogSample(LogLevel_ level, Code_ code, const char* event, const std::vector<LogField>& fields)
 {
-    WriteWithin(&Samples, level, code, event, fields);
+    WriteLimited(&Samples, level, code, event, fields);
 }
 
 } // namespace Winchlink
--- a/daemon/log.h
+++ b/daemon/log.h
@@ -1,8 +1,8 @@
 // log.h: structured logs: one JSON line per event, to standard output.
 //
 // How to use it: Log(LogLevel_Warn, Code_RowLimit, "refused", {{"row", name}, {"retryAfterMs", ms}});
-// Lines of several threads never mix: each is one write. The volume is bounded, and a reader that does not read is not waited for: lines
-// beyond either are left out, and a line says how many.
+// Thread-safe: each line is a single write. Never blocks: lines beyond the rate limit, or that the reader of standard output doesn't accept
+// at once, are dropped, and the next line says how many ("leftOut").
 
 #pragma once
 
@@ -22,10 +22,10 @@
 
 const char* LogLevelName(LogLevel_ level);
 
-// The level of that name, or none.
+// The level with that name, or none.
 std::optional<LogLevel_> ParseLogLevel(const std::string& name);
 
-// Lines below this level are dropped. Set once at start.
+// Lines below this level are not written. Set once at start.
 void SetLogLevel(LogLevel_ level);
 
 struct LogField
@@ -37,29 +37,30 @@
     LogField(const char* key, int number);
 
     const char* Key;   // JSON key.
-    std::string Value; // Already JSON.
+    std::string Value; // Encoded as JSON.
 };
 
-// Lines a second that Log() and LogSample() write; more are left out and counted. A burst may be as long as two seconds' worth.
+// Rate limits of Log() and LogSample(), lines a second. Bursts of up to two seconds' worth are allowed.
 inline constexpr double LogLinesPerSecond = 400;
 inline constexpr double LogSamplesPerSecond = 5;
 
-// How many lines may be written now.
-struct LogAllowance
+// Token bucket that limits the rate of lines.
+struct LogRateLimit
 {
-    double PerSecond = 0; // Lines.
-    double Lines = 0;     // Left now.
-    TimeUs FilledUs = 0;  // When Lines was last brought up to date.
-    uint64_t LeftOut = 0; // Lines left out since the last one that was written.
+    double PerSecond = 0;  // Refill rate, lines a second.
+    double Lines = 0;      // Lines that may be written now.
+    TimeUs RefilledUs = 0; // When Lines was last refilled.
+    uint64_t Dropped = 0;  // Lines dropped since the last written one.
 };
 
-// Takes one line, or counts it as left out.
-bool LogAllowanceTake(LogAllowance* allowance, TimeUs now);
+// Takes one line from the bucket. If it is empty, counts the line as dropped and returns false.
+bool LogRateLimitTake(LogRateLimit* allowance, TimeUs now);
 
-// Like Log(), for what happens with every request and is no failure: a few a second are written, each with how many were left out before.
+// Like Log(), for frequent events such as those of single requests: at most LogSamplesPerSecond lines, each with the number of dropped
+// ones.
 void LogSample(LogLevel_ level, Code_ code, const char* event, const std::vector<LogField>& fields);
 
-// Writes one line: time, level, code, event, then the fields.
+// Writes one line: time, level, code, event, and the fields.
 void Log(LogLevel_ level, Code_ code, const char* event, const std::vector<LogField>& fields);
 
 } // namespace Winchlink
--- a/daemon/main.cpp
+++ b/daemon/main.cpp
@@ -1,4 +1,4 @@
-// main.cpp: the winchlink program: finds the subcommand.
+// main.cpp: entry point of the winchlink program: runs the subcommand.
 
 #include "commands.h"
 #include "winchlink.h"
@@ -22,8 +22,8 @@
     {"serve", "run an instance that serves a table of rows", RunServe},
     {"gateway", "run an instance on the users' platform", RunGateway},
     {"check", "check tables and settings before they are published", RunCheck},
-    {"status", "show what an instance knows and does", RunStatus},
-    {"lift", "let a request go that is held because targets ended under it", RunLift},
+    {"status", "show the state of an instance", RunStatus},
+    {"lift", "end the quarantine of a request under which targets crashed", RunLift},
 }};
 
 static void PrintHelp()
@@ -35,7 +35,7 @@
     {
         fmt::print("  {:<8} {}\n", subcommand.Name, subcommand.Text);
     }
-    fmt::print("\nwinchlink COMMAND --help tells more. winchlink --version prints the version.\n");
+    fmt::print("\nwinchlink COMMAND --help prints its options. winchlink --version prints the version.\n");
 }
 
 static int Main(int argc, const char** argv)
@@ -55,15 +55,15 @@
     {
         if (std::strcmp(name, subcommand.Name) == 0)
         {
-            if (curl_global_init(CURL_GLOBAL_NOTHING) != CURLE_OK) // Without TLS, which takes time and memory to start.
+            if (curl_global_init(CURL_GLOBAL_NOTHING) != CURLE_OK) // TLS is not used, so it is not initialized.
             {
-                fmt::print(stderr, "winchlink: libcurl can't start\n");
+                fmt::print(stderr, "winchlink: libcurl initialization failed\n");
                 return Exit_Start;
             }
             return subcommand.Run(argc - 1, argv + 1);
         }
     }
-    fmt::print(stderr, "winchlink: code {}: there is no command \"{}\"; see winchlink --help\n", static_cast<int>(Code_Usage), name);
+    fmt::print(stderr, "winchlink: code {}: unknown command \"{}\"; see winchlink --help\n", static_cast<int>(Code_Usage), name);
     return Exit_Usage;
 }
 
--- a/daemon/metrics.cpp
+++ b/daemon/metrics.cpp
@@ -1,4 +1,4 @@
-// metrics.cpp: counts and histograms of what callers got, per service and per priority.
+// metrics.cpp: counters and latency histograms of requests, per service, priority and customer.
 
 #include "metrics.h"
 
@@ -9,11 +9,11 @@
 {
 
 static constexpr unsigned BucketCount = 48; // Eight per decade.
-static constexpr double LeastSeconds = 1e-4;
-static constexpr double MostSeconds = 1e2;
+static constexpr double MinSeconds = 1e-4;
+static constexpr double MaxSeconds = 1e2;
 
 LatencyStats::LatencyStats()
-    : Histogram(std::make_tuple(LatencyAxis(BucketCount, LeastSeconds, MostSeconds)), boost::histogram::dense_storage<uint64_t>())
+    : Histogram(std::make_tuple(LatencyAxis(BucketCount, MinSeconds, MaxSeconds)), boost::histogram::dense_storage<uint64_t>())
 {
 }
 
@@ -69,7 +69,7 @@
     {
         sum += *bucket;
         const double upper = bucket.bin().upper();
-        const std::string bound = upper < MostSeconds * 2 ? fmt::format("{:.6g}", upper) : "+Inf";
+        const std::string bound = upper < MaxSeconds * 2 ? fmt::format("{:.6g}", upper) : "+Inf";
         text += fmt::format("{}_bucket{{{},le=\"{}\"}} {}\n", name, labels, bound, sum);
     }
     const auto count = boost::accumulators::count(stats.Summary);
--- a/daemon/metrics.h
+++ b/daemon/metrics.h
@@ -1,7 +1,6 @@
-// metrics.h: counts and histograms of what callers got, per service and per priority.
+// metrics.h: counters and latency histograms of requests, per service, priority and customer.
 //
-// Boost.Accumulators keeps count, mean and largest; Boost.Histogram keeps the distribution on a logarithmic axis, because
-// Accumulators' own density needs its range learnt first.
+// Boost.Accumulators keeps count, mean and maximum; Boost.Histogram keeps the distribution on a logarithmic axis with a fixed range.
 
 #pragma once
 
@@ -37,36 +36,36 @@
 
 struct CodeCount
 {
-    Code_ Code = Code_None; // Result code; None for answers passed on.
-    uint64_t Count = 0;     // Requests that ended so.
+    Code_ Code = Code_None; // Result code; None for answers that were passed on to the caller.
+    uint64_t Count = 0;     // Requests that ended with this code.
 };
 
 struct RowMetrics
 {
-    LatencyStats Latency;         // From the request's arrival to its answer, answers only.
+    LatencyStats Latency;         // From the arrival of a request to its answer; answered requests only.
     std::vector<CodeCount> Ended; // By result code.
-    uint64_t Repeats = 0;         // Attempts after the first.
-    uint64_t RepeatsRefused = 0;  // Of those wanted, how many the budget did not allow.
+    uint64_t Repeats = 0;         // Attempts after the first of a request.
+    uint64_t RepeatsRefused = 0;  // Retries that the budget did not allow.
 };
 
 void CountEnded(RowMetrics* metrics, Code_ code);
 
-// Text in the common exposition format, for one row; `labels` are put in front of the metric's own.
+// A histogram in the Prometheus text format; `labels` are put in front of the label "le".
 std::string FormatLatency(const char* name, const std::string& labels, const LatencyStats& stats);
 
-// What became of a customer's requests.
+// Counters of one customer's requests.
 struct CustomerMetrics
 {
-    uint64_t Admitted = 0; // Counters: requests that its quota allowed,
-    uint64_t Refused = 0;  // and that it did not.
+    uint64_t Admitted = 0; // Requests within the quota.
+    uint64_t Refused = 0;  // Requests refused because of the quota.
 };
 
-inline constexpr size_t CustomersCounted = 100;           // By name; the rest together.
-inline constexpr const char* OtherCustomers = "(others)"; // The name of the rest.
+inline constexpr size_t CustomersCounted = 100;           // Customers that are counted by name; all others are counted together.
+inline constexpr const char* OtherCustomers = "(others)"; // Name for all others.
 
 using CustomersMetrics = std::map<std::string, CustomerMetrics>;
 
-// The customer's counters, or those of the rest.
+// The counters of the customer, or those of all others once CustomersCounted customers have their own.
 CustomerMetrics* CustomerCounters(CustomersMetrics* all, const std::string& customer);
 
 } // namespace Winchlink
--- a/daemon/options.cpp
+++ b/daemon/options.cpp
@@ -1,4 +1,4 @@
-// options.cpp: command lines with popt, the same way for every command.
+// options.cpp: parsing of command lines with popt, shared by all commands.
 
 #include "options.h"
 
--- a/daemon/options.h
+++ b/daemon/options.h
@@ -1,4 +1,4 @@
-// options.h: command lines with popt, the same way for every command.
+// options.h: parsing of command lines with popt, shared by all commands.
 //
 // How to use it: fill a popt table that ends with OPTIONS_TAIL, call ParseOptions(), read the remaining arguments.
 
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-// Help and version for every command, then the end of the table.
+// The options --help and --version of every command, and the end of the table.
 #define OPTIONS_TAIL                                                                                                                       \
     {"version", '\0', POPT_ARG_NONE, nullptr, Winchlink::OptionVersion, "print the version", nullptr}, POPT_AUTOHELP POPT_TABLEEND
 
@@ -20,11 +20,11 @@
 
 struct ParsedOptions
 {
-    std::vector<std::string> Arguments; // What is not an option.
-    std::optional<int> Exit;            // Set: end now, with this exit code.
+    std::vector<std::string> Arguments; // Arguments that are not options.
+    std::optional<int> Exit;            // If set, the program exits with this code.
 };
 
-// `usage` describes the arguments after the options. Prints faults itself.
+// `usage` describes the arguments after the options. Prints errors to standard error.
 ParsedOptions ParseOptions(const char* name, int argc, const char** argv, const poptOption* table, const char* usage);
 
 } // namespace Winchlink
--- a/daemon/socket.cpp
+++ b/daemon/socket.cpp
@@ -1,4 +1,4 @@
-// socket.cpp: small helpers for IPv4 sockets.
+// socket.cpp: helpers for IPv4 sockets.
 
 #include "socket.h"
 
@@ -38,14 +38,14 @@
 
 bool IgnoreNewConnections(int listening)
 {
-    // A packet filter of four steps: drop what opens a connection (SYN), let the rest of a handshake pass.
+    // A BPF program that drops packets with the SYN flag and accepts all others.
     constexpr uint32_t tcp_flags_offset = 13;
     constexpr uint32_t syn = 0x02;
     constexpr uint32_t whole_packet = 0xffffffff;
-    std::array<sock_filter, 4> steps = {{BPF_STMT(BPF_LD | BPF_B | BPF_ABS, tcp_flags_offset),
-                                         BPF_JUMP(BPF_JMP | BPF_JSET | BPF_K, syn, 0, 1), BPF_STMT(BPF_RET | BPF_K, 0),
-                                         BPF_STMT(BPF_RET | BPF_K, whole_packet)}};
-    const sock_fprog program = {static_cast<unsigned short>(steps.size()), steps.data()};
+    std::array<sock_filter, 4> instructions = {{BPF_STMT(BPF_LD | BPF_B | BPF_ABS, tcp_flags_offset),
+                                                BPF_JUMP(BPF_JMP | BPF_JSET | BPF_K, syn, 0, 1), BPF_STMT(BPF_RET | BPF_K, 0),
+                                                BPF_STMT(BPF_RET | BPF_K, whole_packet)}};
+    const sock_fprog program = {static_cast<unsigned short>(instructions.size()), instructions.data()};
     return setsockopt(listening, SOL_SOCKET, SO_ATTACH_FILTER, &program, sizeof(program)) == 0;
 }
 
--- a/daemon/socket.h
+++ b/daemon/socket.h
@@ -1,4 +1,4 @@
-// socket.h: small helpers for IPv4 sockets, shared by the listener and the stand-ins.
+// socket.h: helpers for IPv4 sockets.
 
 #pragma once
 
@@ -11,11 +11,11 @@
 
 sockaddr_in ToSocketAddress(const Endpoint& endpoint);
 
-// A non-blocking TCP socket bound to an endpoint; -1 with errno set if it can't be had.
+// A non-blocking TCP socket bound to an endpoint; -1 with errno set on failure.
 int OpenBound(const Endpoint& endpoint);
 
-// From now on no new connection reaches this listening socket; those already under way still do. To the caller the port looks silent,
-// and its second try finds it closed. False with errno set if the system refuses.
+// Makes a listening socket ignore new connections, while handshakes in progress still complete. The caller's SYN is dropped without an
+// answer; its retransmission is refused if the socket has been closed by then. False with errno set on failure.
 bool IgnoreNewConnections(int listening);
 
 } // namespace Winchlink
--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -1,6 +1,6 @@
-// embed.cpp: the library without the daemon: a table becomes a plan, a request finds its route, and a pool chooses its target.
+// embed.cpp: example of the library without the daemon: parses a table, finds the route of a request and chooses a target.
 //
-// Build it with the repository, then run build/embed. It opens no socket, and the clock is a variable.
+// It is built with the repository as build/embed. It opens no socket, and uses a variable as the clock.
 
 #include "winchlink.h"
 
@@ -29,9 +29,9 @@
     }
     const RoutePlan plan = MakePlan(checked.Value);
     const Route* route = FindRoute(plan, "shop.example", "/loans/17?full=1");
-    std::printf("the request belongs to %s; a GET %s be sent twice\n", route->Name.c_str(), MayRepeat(*route, "GET") ? "may" : "may not");
+    std::printf("the request matches route %s; a GET %s be retried\n", route->Name.c_str(), MayRepeat(*route, "GET") ? "may" : "may not");
 
-    // The directory knows which targets there are, the pool what is known of their load.
+    // The directory holds the known targets, the pool their load.
     TimeUs now = 1000 * UsPerSecond;
     Random random(3);
     TargetDirectory directory;
@@ -47,21 +47,21 @@
     TargetPool pool;
     PoolFollow(&pool, DirectoryByService(directory)["loans"], "dc1", &random);
 
-    // Ask targets for their load until one has room. Here the first to be asked says that all its slots are in use.
+    // Probe targets until one has a free slot. Here the first one reports that all its slots are in use.
     const PoolTarget* first = PoolNext(&pool, {}, false, now);
     const std::string full = first->Id;
     PoolReport(PoolFind(&pool, full), *ParseLoadReport("3,1,3,100"), now);
     PoolTarget* second = PoolNext(&pool, {full}, false, now);
     PoolReport(second, *ParseLoadReport("0,0,3,100"), now);
-    std::printf("%s %s room, %s %s\n", full.c_str(), PoolHasRoom(pool, *PoolFind(&pool, full)) ? "has" : "has no", second->Id.c_str(),
-                PoolHasRoom(pool, *second) ? "has" : "has not");
+    std::printf("%s: %s, %s: %s\n", full.c_str(), PoolHasRoom(pool, *PoolFind(&pool, full)) ? "free slot" : "no free slot",
+                second->Id.c_str(), PoolHasRoom(pool, *second) ? "free slot" : "no free slot");
     PoolSent(&pool, second);
 
-    // It fails. A GET may be tried elsewhere, if the budget of repeats allows it.
+    // The request fails. A GET may be retried at another target if the retry budget allows it.
     now += 20 * UsPerMs;
     PoolFailed(pool.Config, second, now);
     RepeatBudget budget;
     RepeatBudgetRequest(&budget, now);
-    std::printf("a second attempt is %s\n", RepeatBudgetTake(&budget, 1.0, now) ? "allowed" : "not allowed");
+    std::printf("a retry is %s\n", RepeatBudgetTake(&budget, 1.0, now) ? "allowed" : "not allowed");
     return 0;
 }
--- a/gateway/command_serve.cpp
+++ b/gateway/command_serve.cpp
@@ -34,7 +34,7 @@
     Log(LogLevel_Info, Code_None, "started", {{"version", Version}, {"instance", settings.Instance}});
     const int cut = GatewayRun(&gateway);
     Log(LogLevel_Info, cut > 0 ? Code_ForcedStop : Code_None, "stopped", {{"cut", cut}});
-    _exit(cut > 0 ? Exit_Cut : Exit_Good); // Skips destructors: requests in progress still refer to parts of the instance.
+    _exit(cut > 0 ? Exit_ForcedStop : Exit_Good); // Skips destructors: requests in progress still refer to parts of the instance.
 }
 
 static int CheckAndServe(const std::string& file, bool check_only, const Adapter& adapter)
--- a/gateway/quota_link.cpp
+++ b/gateway/quota_link.cpp
@@ -1,9 +1,9 @@
-// quota_link.cpp: what instances tell each other of quotas.
+// quota_link.cpp: exchange of quota reports and decisions between instances.
 //
 // Index of this file:
 // [SECTION] Messages
 // [SECTION] Sending
-// [SECTION] What is heard
+// [SECTION] Receiving
 // [SECTION] Start
 
 #include "quota_link.h"
@@ -22,19 +22,19 @@
 namespace Winchlink
 {
 
-static constexpr size_t DatagramMost = 4 * KiB; // Ours have less than 1.3 KB.
-static constexpr int ReadsMost = 64;            // Datagrams read in a row: other work goes on in between.
+static constexpr size_t DatagramMax = 4 * KiB; // Larger than any datagram that is sent.
+static constexpr int ReadsMax = 64;            // Datagrams read in one pass of the event loop.
 
 //-----------------------------------------------------------------------------
 // [SECTION] Messages
 //-----------------------------------------------------------------------------
 
-// Counts go as single-precision numbers: half the bytes, and exact to a thousandth of a percent.
+// Encodes counts in as_float precision, which halves the size and is precise enough.
 template <class Archive> static void SerializeCount(Archive& archive, double& value)
 {
-    auto small = static_cast<float>(value);
-    archive(small);
-    value = static_cast<double>(small);
+    auto as_float = static_cast<float>(value);
+    archive(as_float);
+    value = static_cast<double>(as_float);
 }
 
 template <class Archive> void serialize(Archive& archive, QuotaReportEntry& entry)
@@ -99,11 +99,11 @@
     const std::string body = whole ? coded.substr(1) : "";
     const auto kind = whole ? static_cast<uint8_t>(bytes[0]) : uint8_t{QuotaMessage_None};
     const bool answer = kind == QuotaMessage_Answer;
-    const bool report = kind == QuotaMessage_Report || kind == QuotaMessage_Contact;
+    const bool report = kind == QuotaMessage_Report || kind == QuotaMessage_SeedReport;
     const bool read = answer ? DecodeMessage(body, &message.Answer) : report && DecodeMessage(body, &message.Report);
     if (!read)
     {
-        return Error{Code_MessageMalformed, "not coded as it should be"};
+        return Error{Code_MessageMalformed, "malformed quota datagram"};
     }
     message.Kind = static_cast<QuotaMessage_>(kind);
     message.Subject = static_cast<QuotaSubject_>(subject);
@@ -114,7 +114,7 @@
 // [SECTION] Sending
 //-----------------------------------------------------------------------------
 
-// A datagram that can't be sent is lost as others are; the next one says the same.
+// Doesn't retry: the next datagram replaces a lost one.
 static void Send(QuotaLink* link, const std::string& address, const QuotaMessage& message)
 {
     Result<Endpoint> to = ParseEndpoint(address);
@@ -129,7 +129,8 @@
         sendto(link->Socket, bytes.data(), bytes.size(), MSG_NOSIGNAL, reinterpret_cast<const sockaddr*>(&where), sizeof where);
     if (sent != static_cast<ssize_t>(bytes.size()))
     {
-        LogSample(LogLevel_Info, Code_PlatformUnreachable, "quota not told", {{"address", address}, {"detail", std::strerror(errno)}});
+        LogSample(LogLevel_Info, Code_PlatformUnreachable, "quota datagram not sent",
+                  {{"address", address}, {"detail", std::strerror(errno)}});
         return;
     }
     link->Sent++;
@@ -156,7 +157,7 @@
     }
 }
 
-static void TellReporters(QuotaLink* link, QuotaSubject_ subject)
+static void AnswerReporters(QuotaLink* link, QuotaSubject_ subject)
 {
     for (const auto& entry : ChannelOf(link, subject).Known->Followers)
     {
@@ -164,7 +165,7 @@
     }
 }
 
-// The address that datagrams of an instance come from.
+// The address of an instance for datagrams, or empty if `instance` is no address.
 static std::string DatagramAddress(const QuotaLink& link, const std::string& instance)
 {
     Result<Endpoint> endpoint = ParseEndpoint(instance);
@@ -176,8 +177,8 @@
     return FormatEndpoint(endpoint.value());
 }
 
-// Followers that have nothing to report, or whose reports were lost, may not have heard of a limit.
-static void TellOthers(QuotaLink* link, QuotaSubject_ subject)
+// Sends the decision to followers that don't report: they may not know of a limit yet.
+static void AnswerOtherFollowers(QuotaLink* link, QuotaSubject_ subject)
 {
     const auto& reporters = ChannelOf(link, subject).Known->Followers;
     for (const std::string& follower : link->Followers())
@@ -200,7 +201,7 @@
 {
     if (ChannelOf(link, subject).Decide(NowUs()))
     {
-        TellReporters(link, subject);
+        AnswerReporters(link, subject);
     }
 }
 
@@ -209,12 +210,12 @@
     QuotaChannel& channel = ChannelOf(link, subject);
     if (!channel.Wanted())
     {
-        channel.Reporting = nullptr; // The last limit is forgotten.
+        channel.Reporting = nullptr; // The last limit has expired.
         return;
     }
     channel.Reporting = TimerStart(link->Loop, QuotaReportIn(*channel.Known), [link, subject]() { Report(link, subject); });
     Decide(link, subject);
-    TellOthers(link, subject);
+    AnswerOtherFollowers(link, subject);
     if (!channel.Known->Decides)
     {
         ReportToSource(link, subject);
@@ -222,12 +223,12 @@
     }
     for (const std::string& contact : link->Contacts())
     {
-        SendReports(link, subject, contact, QuotaMessage_Contact);
+        SendReports(link, subject, contact, QuotaMessage_SeedReport);
     }
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] What is heard
+// [SECTION] Receiving
 //-----------------------------------------------------------------------------
 
 static void Take(QuotaLink* link, const std::string& from, const QuotaMessage& message)
@@ -239,11 +240,11 @@
     {
         if (QuotaHeardAnswer(known, message.Answer, now))
         {
-            TellReporters(link, subject);
+            AnswerReporters(link, subject);
         }
         return;
     }
-    const bool contact = message.Kind == QuotaMessage_Contact;
+    const bool contact = message.Kind == QuotaMessage_SeedReport;
     const bool unknown = QuotaHeardReport(known, from, message.Report, contact, now);
     Decide(link, subject);
     if (!contact)
@@ -252,20 +253,20 @@
     }
     else if (unknown)
     {
-        SendReports(link, subject, from, QuotaMessage_Contact);
+        SendReports(link, subject, from, QuotaMessage_SeedReport);
     }
 }
 
-// False if nothing waits.
+// False if no datagram is waiting.
 static bool ReadOne(QuotaLink* link)
 {
-    std::string bytes(DatagramMost, '\0');
+    std::string bytes(DatagramMax, '\0');
     sockaddr_in from = {};
     socklen_t size = sizeof from;
     const ssize_t got = recvfrom(link->Socket, bytes.data(), bytes.size(), MSG_DONTWAIT, reinterpret_cast<sockaddr*>(&from), &size);
     if (got < 0)
     {
-        return errno == ECONNREFUSED || errno == EINTR; // Word that a former one reached nobody.
+        return errno == ECONNREFUSED || errno == EINTR; // An earlier datagram could not be delivered.
     }
     bytes.resize(static_cast<size_t>(got));
     link->Received++;
@@ -274,18 +275,19 @@
     if (!message)
     {
         link->Unreadable++;
-        LogSample(LogLevel_Warn, message.error().Code, "quota can't be read", {{"address", sender}, {"bytes", static_cast<uint64_t>(got)}});
+        LogSample(LogLevel_Warn, message.error().Code, "quota datagram malformed",
+                  {{"address", sender}, {"bytes", static_cast<uint64_t>(got)}});
         return true;
     }
     Take(link, sender, message.value());
-    QuotaLinkFollow(link); // It may have told of the first limit.
+    QuotaLinkFollow(link); // The message may contain the first limit.
     return true;
 }
 
 static void OnReadable(QuotaLink* link)
 {
     int reads = 0;
-    while (reads < ReadsMost && ReadOne(link))
+    while (reads < ReadsMax && ReadOne(link))
     {
         reads++;
     }
--- a/gateway/quota_link.h
+++ b/gateway/quota_link.h
@@ -1,14 +1,14 @@
-// quota_link.h: what instances tell each other of quotas (Quota in winchlink.h), in UDP datagrams: of customers, and of targets that have
-// named a limit.
+// quota_link.h: exchange of quota reports and decisions (Quota in winchlink.h) between instances, in UDP datagrams. Customers' quotas and
+// targets' limits are exchanged separately.
 //
-// Each instance sends what it and its followers have admitted to the instance that it follows, which answers with what was decided; first
-// contacts send the same to each other, and decide. A datagram holds a state and no change, so that nothing is sent again. Other instances
-// are reached at the address where they can be followed, at the port for datagrams, which is the same for the whole fleet.
+// Each instance sends the sums of itself and its followers to its source, which answers with the decision; seeds send their sums to each
+// other and decide. Each datagram holds totals and no changes, so lost ones are not sent again. The address of an instance for datagrams is
+// its peer address with the datagram port, which is the same for the whole fleet.
 //
-// Nothing is told of customers while none has a quota, and of targets while no limit is known. Instances that have heard of a limit tell
-// their followers, which then report too: so a limit is known to the whole fleet a moment after the first instance has heard of it.
+// Nothing is sent about customers while none has a quota, nor about targets while no limit is known. Instances that know of a limit send it
+// to their followers, which then start to report too; so a limit spreads through the whole fleet.
 //
-// How to use it: fill the struct, QuotaLinkStart() once, QuotaLinkFollow() after each change of the plan and of the limits that are known.
+// How to use it: fill the struct, call QuotaLinkStart() once, and QuotaLinkFollow() after each change of the plan or of the known limits.
 
 #pragma once
 
@@ -17,7 +17,7 @@
 namespace Winchlink
 {
 
-// Whose quotas. Each has a Quota and reports of its own.
+// What a quota applies to. Each subject has its own Quota and reports.
 enum QuotaSubject_ : uint8_t
 {
     QuotaSubject_Customers,
@@ -28,8 +28,8 @@
 struct QuotaChannel
 {
     Quota* Known = nullptr;
-    std::function<bool()> Wanted;           // Whether there is anything to tell.
-    std::function<bool(TimeUs now)> Decide; // QuotaDecide(), or QuotaDecideNamed().
+    std::function<bool()> Wanted;           // Whether there is any quota or limit, so that reports are needed.
+    std::function<bool(TimeUs now)> Decide; // Calls QuotaDecide() or QuotaDecideNamed().
     Timer Reporting;
 };
 
@@ -37,17 +37,17 @@
 {
     EventLoop* Loop = nullptr;
     std::array<QuotaChannel, QuotaSubject_COUNT> Channels;
-    std::string Own;                                     // IP:port where this instance can be followed; empty: it is alone.
-    int Port = 0;                                        // For datagrams; 0: none are sent.
-    std::function<std::string()> Source;                 // The instance that is followed; empty: it is not known.
-    std::function<std::vector<std::string>()> Contacts;  // Other first contacts.
-    std::function<std::vector<std::string>()> Followers; // Instances that follow this one, whether they report or not.
+    std::string Own;                                     // IP:port at which other instances reach this one; empty: there are no others.
+    int Port = 0;                                        // For datagrams; 0: the exchange is off.
+    std::function<std::string()> Source;                 // Address of the instance's source; empty if unknown.
+    std::function<std::vector<std::string>()> Contacts;  // Addresses of the other seeds.
+    std::function<std::vector<std::string>()> Followers; // Addresses of all followers, including those that don't report.
     int Socket = -1;
     Watch Readable;
-    std::string LastSource;  // The one that was last followed: it is kept while the store is read.
-    uint64_t Sent = 0;       // Counters: datagrams,
-    uint64_t Received = 0;   //
-    uint64_t Unreadable = 0; // and those that can't be read.
+    std::string LastSource;  // Last known source; used while the instance reads the store itself.
+    uint64_t Sent = 0;       // Datagrams sent.
+    uint64_t Received = 0;   // Datagrams received.
+    uint64_t Unreadable = 0; // Received datagrams that could not be decoded.
 
     QuotaLink() = default;
     ~QuotaLink();
@@ -55,22 +55,22 @@
     QuotaLink& operator=(const QuotaLink&) = delete;
 };
 
-// Opens the socket, if there is a port; Code_ListenFailed if it can't be had.
+// Opens the socket, if a port is set; Code_ListenFailed if that fails.
 Result<void> QuotaLinkStart(QuotaLink* link);
 
-// The plan has changed, or a limit of a target was heard: begins to tell what is wanted, at once, and ends what is not.
+// Starts or stops the reports of each subject, as needed. To be called when the plan or a target's limit has changed.
 void QuotaLinkFollow(QuotaLink* link);
 
 enum QuotaMessage_ : uint8_t
 {
     QuotaMessage_None,
-    QuotaMessage_Report,  // To the instance that is followed.
-    QuotaMessage_Contact, // A report to another first contact.
-    QuotaMessage_Answer,  // What was decided.
+    QuotaMessage_Report,     // To the source.
+    QuotaMessage_SeedReport, // A report to another seed.
+    QuotaMessage_Answer,     // A decision.
     QuotaMessage_COUNT,
 };
 
-// One datagram; which of the two it holds is said by Kind.
+// One datagram. Kind says whether it holds Report or Answer.
 struct QuotaMessage
 {
     QuotaMessage_ Kind = QuotaMessage_None;
@@ -79,7 +79,7 @@
     QuotaAnswer Answer;
 };
 
-// Bytes of a datagram, and back. Code_MessageMalformed for what is none.
+// Encodes and decodes a datagram. Code_MessageMalformed if the bytes are invalid.
 std::string EncodeQuota(const QuotaMessage& message);
 Result<QuotaMessage> DecodeQuota(const std::string& bytes);
 
