--- a/gateway/pages.cpp
+++ b/gateway/pages.cpp
@@ -175,7 +175,7 @@
 static json_t* JsonOfTarget(const Quota& limits, const TargetPool& pool, const PoolTarget& target, TimeUs now)
 {
     json_t* object = json_object();
-    const NamedLimit* limit = QuotaNamed(limits, target.LifeId);
+    const TargetLimit* limit = QuotaNamed(limits, target.LifeId);
     json_object_set_new(object, "id", JsonText(target.Id));
     json_object_set_new(object, "address", JsonText(target.Address));
     json_object_set_new(object, "near", json_boolean(target.Near));
--- a/gateway/quota_link.cpp
+++ b/gateway/quota_link.cpp
@@ -29,7 +29,7 @@
 // [SECTION] Messages
 //-----------------------------------------------------------------------------
 
-// Encodes counts in as_float precision, which halves the size and is precise enough.
+// Encodes counts in single precision, which halves the size and is precise enough.
 template <class Archive> static void SerializeCount(Archive& archive, double& value)
 {
     auto as_float = static_cast<float>(value);
@@ -43,7 +43,7 @@
     SerializeCount(archive, entry.Count.Admitted);
     SerializeCount(archive, entry.Count.Leaving);
     SerializeCount(archive, entry.Count.Wanted);
-    SerializeCount(archive, entry.Count.Rising);
+    SerializeCount(archive, entry.Count.RecentWanted);
 }
 
 template <class Archive> void serialize(Archive& archive, QuotaShare& share)
@@ -52,13 +52,13 @@
     SerializeCount(archive, share.Share);
 }
 
-template <class Archive> void serialize(Archive& archive, QuotaMost& most)
+template <class Archive> void serialize(Archive& archive, QuotaFleetSize& most)
 {
     SerializeCount(archive, most.Members);
     archive(most.AgeUs);
 }
 
-template <class Archive> void serialize(Archive& archive, NamedLimitNews& news)
+template <class Archive> void serialize(Archive& archive, TargetLimitUpdate& news)
 {
     archive(news.Id);
     SerializeCount(archive, news.PerS);
--- a/winchlink.h
+++ b/winchlink.h
@@ -831,14 +831,14 @@
 // spread evenly over the instances.
 struct ReturnSchedule
 {
-    TimeUs LeastUs = 300 * UsPerMs;    // Minimum delay of a retry, before jitter: about the duration of one request.
-    TimeUs MostUs = 5 * UsPerSecond;   // Maximum delay of a retry, before jitter.
-    double Share = 0.25;               // Part of the service rate for retries; the rest is for new requests.
-    double Spread = 0.2;               // Jitter, as a part of the delay.
-    TimeUs MemoryUs = 2 * UsPerSecond; // Time constant of the exponential decay of Served.
-    double Served = 10;                // Served requests, decayed; starts above 0 so that a start is not taken for an overload.
-    TimeUs ServedUs = 0;               // When Served was last updated.
-    TimeUs NextUs = 0;                 // The latest retry time that was assigned.
+    TimeUs LeastUs = 300 * UsPerMs;         // Minimum delay of a retry, before jitter: about the duration of one request.
+    TimeUs MostUs = 5 * UsPerSecond;        // Maximum delay of a retry, before jitter.
+    double Share = 0.25;                    // Part of the service rate for retries; the rest is for new requests.
+    double Spread = 0.2;                    // Jitter, as a part of the delay.
+    TimeUs ServedDecayUs = 2 * UsPerSecond; // Time constant of the exponential decay of Served.
+    double Served = 10;                     // Served requests, decayed; starts above 0 so that a start is not taken for an overload.
+    TimeUs ServedUs = 0;                    // When Served was last updated.
+    TimeUs NextUs = 0;                      // The latest retry time that was assigned.
 };
 
 // Counts a served request.
@@ -860,7 +860,7 @@
 //    the reports with these shares. Each instance admits that share of the requests it gets.
 //
 // Reports hold totals and no changes, so lost and duplicated ones do no harm. Decisions steer the admitted sum of the last window towards
-// the quota plus a part (OverageUsed) of the tolerance; the rest of the tolerance absorbs the delay of reports and decisions.
+// the quota plus a part (ToleranceUsed) of the tolerance; the rest of the tolerance absorbs the delay of reports and decisions.
 //
 //  - Partition: instances that stopped reporting may still admit requests. The others use only their part of the quota, which is their
 //    number divided by the largest recent number of instances.
@@ -871,7 +871,7 @@
 // An overloaded target can name a limit in its answers: requests a second from all instances together. The same mechanism enforces it, with
 // a Quota of its own in which requests are counted by target. These limits are not part of the plan: they spread with reports and decisions
 // from the instance that got the answer. A request that is not admitted at one target goes to another. After a restart of the fleet or
-// while a limit is new, each instance admits at most StartParts times its even part.
+// while a limit is new, each instance admits at most EvenPartsMax times its even part.
 //
 // How to use it: QuotaTake() for each request of a customer with a quota, QuotaReturn() for one that no target has run; QuotaDecide()
 // after each received report and every QuotaReportIn(), then send QuotaReports() to the source or, from a seed, to the other seeds. Pass
@@ -881,22 +881,22 @@
 
 struct QuotaConfig
 {
-    TimeUs WindowUs = 5 * UsPerSecond;       // Requests are counted over this time.
-    double Overage = 0.25;                   // Tolerance in a window, as a part of the quota,
-    double Slack = 20;                       // plus this number of requests.
-    double OverageUsed = 0.3;                // Part of the tolerance that is added to the quota; the rest absorbs reporting delays.
-    TimeUs ReportUs = 250 * UsPerMs;         // Report interval of instances without followers,
-    TimeUs ForwardUs = 100 * UsPerMs;        // and of seeds and instances with followers, to limit the delay at each level of the tree.
-    TimeUs DecideUs = 50 * UsPerMs;          // Minimum time between two decisions.
-    TimeUs MemberUs = 750 * UsPerMs;         // Reports and decisions expire after this time: two in a row may be lost.
-    TimeUs MembersKeptUs = 60 * UsPerSecond; // Instances that stopped reporting are assumed to admit requests for this time.
-    TimeUs CorrectUs = 1500 * UsPerMs;       // Time constant of the correction towards the target sum; above the delay of reports.
-    double StartCovered = 0.5;               // Below this covered part of the window, the fleet counts as just started.
-    double StartParts = 3;                   // Maximum of an instance after a start of the fleet, in multiples of its even part.
-    double MembersGuess = 100;               // Assumed number of instances while none is known.
-    double CutOffShare = 0.25;               // Part of the fleet that may each admit one request without a decision within Slack.
-    double SurgeShare = 2;       // From this share on, an instance admits at most StartParts times its even part; above 1: no such bound.
-    double TrialPerS = 1.0 / 60; // Minimum rate of a target with a limit, so that its answers can report a higher limit.
+    TimeUs WindowUs = 5 * UsPerSecond;         // Requests are counted over this time.
+    double Overage = 0.25;                     // Tolerance in a window, as a part of the quota,
+    double Slack = 20;                         // plus this number of requests.
+    double ToleranceUsed = 0.3;                // Part of the tolerance that is added to the quota; the rest absorbs reporting delays.
+    TimeUs ReportUs = 250 * UsPerMs;           // Report interval of instances without followers,
+    TimeUs ForwardUs = 100 * UsPerMs;          // and of seeds and instances with followers, to limit the delay at each level of the tree.
+    TimeUs DecideUs = 50 * UsPerMs;            // Minimum time between two decisions.
+    TimeUs ReportExpiryUs = 750 * UsPerMs;     // Reports and decisions expire after this time: two in a row may be lost.
+    TimeUs MembersExpiryUs = 60 * UsPerSecond; // Instances that stopped reporting are assumed to admit requests for this time.
+    TimeUs CorrectionUs = 1500 * UsPerMs;      // Time constant of the correction towards the target sum; above the delay of reports.
+    double CoveredMin = 0.5;                   // Below this covered part of the window, the fleet counts as just started.
+    double EvenPartsMax = 3;                   // Maximum of an instance after a start of the fleet, in multiples of its even part.
+    double MembersDefault = 100;               // Assumed number of instances while none is known.
+    double PartitionedShare = 0.25;            // Part of the fleet that may each admit one request without a decision within Slack.
+    double BurstShare = 2; // From this share on, an instance admits at most EvenPartsMax times its even part; above 1: no such bound.
+    double TargetPerSMin = 1.0 / 60;        // Minimum rate of a target with a limit, so that its answers can report a higher limit.
     TimeUs NamedKeptUs = 300 * UsPerSecond; // A target's limit expires this long after it was last named.
     TimeUs LiftedKeptUs = 10 * UsPerSecond; // The end of a limit is passed on for this time.
 };
@@ -905,7 +905,7 @@
 QuotaConfig TargetQuotaConfig();
 
 // A limit that a target named in an answer. The latest answer to any instance holds.
-struct NamedLimit
+struct TargetLimit
 {
     double PerS = 0;      // Requests a second, from all instances together.
     bool InForce = false; // False: the latest answer named no limit.
@@ -915,10 +915,10 @@
 // Request counts of one customer or target.
 struct QuotaCount
 {
-    double Admitted = 0; // Requests in the last window.
-    double Leaving = 0;  // Admitted requests a second in the oldest second of the window, which expire next.
-    double Wanted = 0;   // Requests a second, admitted or not, over the last second.
-    double Rising = 0;   // The same over the last one or two steps of the window, to detect sudden increases.
+    double Admitted = 0;     // Requests in the last window.
+    double Leaving = 0;      // Admitted requests a second in the oldest second of the window, which expire next.
+    double Wanted = 0;       // Requests a second, admitted or not, over the last second.
+    double RecentWanted = 0; // The same over the last one or two steps of the window, to detect sudden increases.
 };
 
 // Requests counted in one step of the window.
@@ -937,7 +937,7 @@
     double Credit = 0;                            // Sum of shares; a request is admitted when it reaches 1.
     double Alone = 0;                             // Allowance: requests that may be admitted without a decision.
     TimeUs AloneUs = 0;                           // When the allowance was last filled; 0: never.
-    TimeUs ChargedUs = 0;                         // Time of the decision since which admitted requests were deducted from the allowance.
+    TimeUs AllowanceChargedUs = 0;                // Time of the decision since which admitted requests were deducted from the allowance.
 };
 
 struct QuotaReportEntry
@@ -947,7 +947,7 @@
 };
 
 // A target's limit as sent between instances.
-struct NamedLimitNews
+struct TargetLimitUpdate
 {
     uint64_t Id = 0; // Of the target's incarnation.
     double PerS = 0;
@@ -956,7 +956,7 @@
 };
 
 // The largest recent number of instances. It is part of every report and answer, so that it survives the instance that counted it.
-struct QuotaMost
+struct QuotaFleetSize
 {
     double Members = 0; // 0: unknown.
     TimeUs AgeUs = 0;   // Time since they were counted.
@@ -965,11 +965,11 @@
 // One message of a report; a report that is too large for one packet is sent as several.
 struct QuotaReport
 {
-    QuotaMost Most;
+    QuotaFleetSize Most;
     double Members = 0; // Instances included in the sums.
     double Covered = 0; // Sum over these instances of the part of the window, 0 to 1, that each has been up for.
     std::vector<QuotaReportEntry> Entries;
-    std::vector<NamedLimitNews> Named;
+    std::vector<TargetLimitUpdate> Named;
 };
 
 struct QuotaShare
@@ -981,13 +981,13 @@
 // One message of a decision. Customers that are not listed are admitted in full, unless Covered is below 1.
 struct QuotaAnswer
 {
-    QuotaMost Most;
+    QuotaFleetSize Most;
     double Covered = 0; // Part of the window that is covered by reports, 0 to 1.
     std::vector<QuotaShare> Shares;
-    std::vector<NamedLimitNews> Named;
+    std::vector<TargetLimitUpdate> Named;
 };
 
-struct QuotaHeard
+struct QuotaReportedCount
 {
     QuotaCount Count;
     TimeUs AtUs = 0; // When it was received.
@@ -999,7 +999,7 @@
     TimeUs HeardUs = 0; // Time of the last report; 0 if none.
     double Members = 0; // As in QuotaReport.
     double Covered = 0;
-    std::unordered_map<uint64_t, QuotaHeard> Counts; // By customer or target.
+    std::unordered_map<uint64_t, QuotaReportedCount> Counts; // By customer or target.
 };
 
 struct QuotaDecision
@@ -1013,7 +1013,7 @@
     QuotaConfig Config;
     bool Decides = false;                               // This instance is a seed.
     TimeUs StartedUs = 0;                               // When this instance was started.
-    std::unordered_map<uint64_t, NamedLimit> Named;     // Limits of targets, by incarnation.
+    std::unordered_map<uint64_t, TargetLimit> Named;    // Limits of targets, by incarnation.
     std::unordered_map<uint64_t, QuotaUse> Own;         // Counts of this instance, by customer or target; idle entries are removed.
     std::map<std::string, QuotaMember> Followers;       // Instances that report to this one, by address.
     std::map<std::string, QuotaMember> Contacts;        // Other seeds, by address.
@@ -1023,9 +1023,9 @@
     TimeUs ToldUs = 0;                                  // When a decision was last received; 0: never.
     TimeUs DecidedUs = 0;                               // When QuotaDecide() last ran; 0: never.
     double MembersMost = 0;                             // Largest recent number of instances; 0: unknown.
-    TimeUs MembersMostUs = 0;                           // When MembersMost was counted.
-    double MembersLow = 0;                              // Smallest number of instances since MembersLowUs.
-    TimeUs MembersLowUs = 0;                            // Start of that period; 0: none yet.
+    TimeUs MembersMaxUs = 0;                            // When MembersMost was counted.
+    double MembersMin = 0;                              // Smallest number of instances since MembersMinUs.
+    TimeUs MembersMinUs = 0;                            // Start of that period; 0: none yet.
 };
 
 // Whether a request of the customer is admitted. Counts the request.
@@ -1038,7 +1038,7 @@
 bool QuotaName(Quota* quota, uint64_t id, std::optional<double> per_s, TimeUs now);
 
 // The limit in force for a target, or null.
-const NamedLimit* QuotaNamed(const Quota& quota, uint64_t id);
+const TargetLimit* QuotaNamed(const Quota& quota, uint64_t id);
 
 // Whether a request is admitted at a target; always true for targets without a limit. Counts the request if there is a limit.
 bool QuotaTakeNamed(Quota* quota, uint64_t id, TimeUs now, Random* random);
--- a/winchlink_quota.cpp
+++ b/winchlink_quota.cpp
@@ -50,16 +50,16 @@
     config.WindowUs = 4 * UsPerSecond;
     config.Overage = 0.5;
     config.Slack = 5;
-    config.OverageUsed = 0.15; // Shares are cut off at 0 and 1, so the mean stays below the goal; this raises it to the limit.
-    config.StartParts = 2;
-    config.SurgeShare = 0.9;
-    config.CutOffShare = 1;
+    config.ToleranceUsed = 0.15; // Shares are cut off at 0 and 1, so the mean stays below the goal; this raises it to the limit.
+    config.EvenPartsMax = 2;
+    config.BurstShare = 0.9;
+    config.PartitionedShare = 1;
     return config;
 }
 
-static QuotaLimit LimitOf(const Quota& quota, uint64_t id, const NamedLimit& named)
+static QuotaLimit LimitOf(const Quota& quota, uint64_t id, const TargetLimit& named)
 {
-    return {id, std::max(named.PerS, quota.Config.TrialPerS), 0};
+    return {id, std::max(named.PerS, quota.Config.TargetPerSMin), 0};
 }
 
 bool QuotaName(Quota* quota, uint64_t id, std::optional<double> per_s, TimeUs now)
@@ -69,13 +69,13 @@
     {
         return false; // The common case: creates no entry.
     }
-    NamedLimit& known = quota->Named[id];
+    TargetLimit& known = quota->Named[id];
     const bool same = known.InForce == per_s.has_value() && (!per_s || known.PerS == *per_s);
     known = {per_s.value_or(known.PerS), per_s.has_value(), now};
     return !same;
 }
 
-const NamedLimit* QuotaNamed(const Quota& quota, uint64_t id)
+const TargetLimit* QuotaNamed(const Quota& quota, uint64_t id)
 {
     const auto found = quota.Named.find(id);
     return found != quota.Named.end() && found->second.InForce ? &found->second : nullptr;
@@ -83,7 +83,7 @@
 
 TimeUs QuotaNamedTurn(const Quota& quota, uint64_t id)
 {
-    const NamedLimit* named = QuotaNamed(quota, id);
+    const TargetLimit* named = QuotaNamed(quota, id);
     return named != nullptr ? static_cast<TimeUs>(static_cast<double>(UsPerSecond) / LimitOf(quota, id, *named).RatePerS) : 0;
 }
 
@@ -97,9 +97,9 @@
     }
 }
 
-static std::vector<NamedLimitNews> LimitUpdates(const Quota& quota, TimeUs now)
+static std::vector<TargetLimitUpdate> LimitUpdates(const Quota& quota, TimeUs now)
 {
-    std::vector<NamedLimitNews> updates;
+    std::vector<TargetLimitUpdate> updates;
     for (const auto& [id, named] : quota.Named)
     {
         updates.push_back({id, named.PerS, named.InForce, now - named.HeardUs});
@@ -108,10 +108,10 @@
 }
 
 // Takes limits from a message. True if any limit changed.
-static bool ApplyLimitUpdates(Quota* quota, const std::vector<NamedLimitNews>& updates, TimeUs now)
+static bool ApplyLimitUpdates(Quota* quota, const std::vector<TargetLimitUpdate>& updates, TimeUs now)
 {
     bool changed = false;
-    for (const NamedLimitNews& update : updates)
+    for (const TargetLimitUpdate& update : updates)
     {
         const bool valid = IsValidCount(update.PerS) && update.AgeUs >= 0 && update.AgeUs <= quota->Config.NamedKeptUs;
         const TimeUs heard = now - update.AgeUs;
@@ -183,7 +183,7 @@
         before += age >= 1 && age <= second ? step.Wanted : 0;
         rising = age <= 1 ? std::max<double>(rising, step.Wanted) : rising;
     }
-    count.Rising = rising / (static_cast<double>(StepUs(config)) * Seconds);
+    count.RecentWanted = rising / (static_cast<double>(StepUs(config)) * Seconds);
     count.Wanted = std::max(lately, before) * seen_per_s;
     return count;
 }
@@ -193,7 +193,7 @@
     sum->Admitted += count.Admitted;
     sum->Leaving += count.Leaving;
     sum->Wanted += count.Wanted;
-    sum->Rising += count.Rising;
+    sum->RecentWanted += count.RecentWanted;
 }
 
 using QuotaSums = std::unordered_map<uint64_t, QuotaCount>;
@@ -254,20 +254,20 @@
 static double AdmissionGoal(const QuotaConfig& config, const QuotaLimit& limit)
 {
     const double quota = limit.RatePerS * static_cast<double>(config.WindowUs) * Seconds + limit.Burst;
-    return quota + config.OverageUsed *
+    return quota + config.ToleranceUsed *
                        (config.Overage * quota + std::min(config.Slack, quota)); // Slack is bounded by the quota, for small quotas.
 }
 
 static double MemberCount(const Quota& quota)
 {
-    const double now = quota.Decides ? quota.Members : quota.Config.MembersGuess;
+    const double now = quota.Decides ? quota.Members : quota.Config.MembersDefault;
     return quota.MembersMost > 0 ? quota.MembersMost : now;
 }
 
 // True if no decision was received recently and this instance is not a seed.
 static bool LacksDecision(const Quota& quota, TimeUs now)
 {
-    return !quota.Decides && (quota.ToldUs == 0 || now - quota.ToldUs > quota.Config.MemberUs);
+    return !quota.Decides && (quota.ToldUs == 0 || now - quota.ToldUs > quota.Config.ReportExpiryUs);
 }
 
 static double AdmittedSince(const QuotaUse& use, const QuotaConfig& config, TimeUs since)
@@ -302,7 +302,7 @@
     const QuotaConfig& config = quota.Config;
     if (use->AloneUs == 0)
     {
-        const double chance = std::min(1.0, config.Slack / (config.CutOffShare * MemberCount(quota)));
+        const double chance = std::min(1.0, config.Slack / (config.PartitionedShare * MemberCount(quota)));
         use->Alone = std::uniform_real_distribution<double>(0, 1)(*random) < chance ? 1 : 0;
         use->AloneUs = now;
     }
@@ -322,19 +322,19 @@
 static bool TakeWithoutDecision(Quota* quota, QuotaUse* use, const QuotaLimit& limit, TimeUs now, Random* random)
 {
     RefillAllowance(*quota, use, AdmissionGoal(quota->Config, limit) / MemberCount(*quota), now, random);
-    if (LacksDecision(*quota, now) && use->ChargedUs != quota->ToldUs)
+    if (LacksDecision(*quota, now) && use->AllowanceChargedUs != quota->ToldUs)
     {
         use->Alone -= AdmittedSince(*use, quota->Config, quota->ToldUs); // The rest of the fleet doesn't know of these.
-        use->ChargedUs = quota->ToldUs;
+        use->AllowanceChargedUs = quota->ToldUs;
     }
     return TakeFromAllowance(use);
 }
 
-// For bursts that are shorter than the delay of reports and decisions: applies the share, and limits the instance to StartParts times its
+// For bursts that are shorter than the delay of reports and decisions: applies the share, and limits the instance to EvenPartsMax times its
 // even part.
 static bool TakeShareWithinAllowance(Quota* quota, QuotaUse* use, const QuotaLimit& limit, double share, TimeUs now, Random* random)
 {
-    const double part = quota->Config.StartParts * AdmissionGoal(quota->Config, limit) / MemberCount(*quota);
+    const double part = quota->Config.EvenPartsMax * AdmissionGoal(quota->Config, limit) / MemberCount(*quota);
     RefillAllowance(*quota, use, part, now, random);
     return use->Alone >= 1 && TakeShare(use, share, random) && TakeFromAllowance(use);
 }
@@ -342,7 +342,7 @@
 static const QuotaDecision* FreshDecision(const Quota& quota, uint64_t id, TimeUs now)
 {
     const auto found = quota.Shares.find(id);
-    const bool fresh = found != quota.Shares.end() && now - found->second.AtUs <= quota.Config.MemberUs;
+    const bool fresh = found != quota.Shares.end() && now - found->second.AtUs <= quota.Config.ReportExpiryUs;
     return fresh ? &found->second : nullptr;
 }
 
@@ -352,9 +352,9 @@
     QuotaStep* step = StepAt(&use, quota->Config, now);
     step->Wanted++;
     const QuotaDecision* decision = FreshDecision(*quota, limit.Id, now);
-    const bool fleet_started = quota->Covered < quota->Config.StartCovered; // What was admitted before the fleet started is unknown.
+    const bool fleet_started = quota->Covered < quota->Config.CoveredMin; // What was admitted before the fleet started is unknown.
     const double share = decision != nullptr ? decision->Share : 1;
-    const bool may_burst = fleet_started || share >= quota->Config.SurgeShare;
+    const bool may_burst = fleet_started || share >= quota->Config.BurstShare;
     const bool taken = LacksDecision(*quota, now) || (fleet_started && decision == nullptr)
                            ? TakeWithoutDecision(quota, &use, limit, now, random)
                        : may_burst ? TakeShareWithinAllowance(quota, &use, limit, share, now, random)
@@ -370,7 +370,7 @@
 
 bool QuotaTakeNamed(Quota* quota, uint64_t id, TimeUs now, Random* random)
 {
-    const NamedLimit* named = QuotaNamed(*quota, id);
+    const TargetLimit* named = QuotaNamed(*quota, id);
     return named == nullptr || Take(quota, LimitOf(*quota, id, *named), now, random);
 }
 
@@ -425,7 +425,7 @@
 
 static void RemoveExpired(Quota* quota, TimeUs now)
 {
-    const TimeUs until = now - quota->Config.MemberUs;
+    const TimeUs until = now - quota->Config.ReportExpiryUs;
     RemoveExpiredMembers(&quota->Followers, until);
     RemoveExpiredMembers(&quota->Contacts, until);
     RemoveExpiredLimits(quota, now);
@@ -458,9 +458,9 @@
     const double even = goal / (static_cast<double>(config.WindowUs) * Seconds);
     const double leaving = std::min(count.Leaving + even * (1 - covered),
                                     even); // Bounded by the even rate, so that a burst that expires is not admitted as a burst again.
-    const double correction = (goal - count.Admitted - unknown) / (static_cast<double>(config.CorrectUs) * Seconds);
+    const double correction = (goal - count.Admitted - unknown) / (static_cast<double>(config.CorrectionUs) * Seconds);
     const double rate = std::max(leaving + correction, 0.0);
-    const double wanted = std::max(count.Wanted, RateLowerBound(config, count.Rising));
+    const double wanted = std::max(count.Wanted, RateLowerBound(config, count.RecentWanted));
     return rate >= wanted ? 1 : rate / wanted;
 }
 
@@ -485,34 +485,34 @@
     return IsSignificantChange(before, share);
 }
 
-static void UpdateFleetSize(Quota* quota, const QuotaMost& most, TimeUs now)
+static void UpdateFleetSize(Quota* quota, const QuotaFleetSize& most, TimeUs now)
 {
-    const bool valid = IsValidCount(most.Members) && most.Members >= 1 && most.AgeUs >= 0 && most.AgeUs <= quota->Config.MembersKeptUs;
-    const bool forgotten = now - quota->MembersMostUs > quota->Config.MembersKeptUs;
+    const bool valid = IsValidCount(most.Members) && most.Members >= 1 && most.AgeUs >= 0 && most.AgeUs <= quota->Config.MembersExpiryUs;
+    const bool forgotten = now - quota->MembersMaxUs > quota->Config.MembersExpiryUs;
     if (valid && (forgotten || most.Members >= quota->MembersMost))
     {
         const bool same = !forgotten && most.Members == quota->MembersMost;
         quota->MembersMost = most.Members;
-        quota->MembersMostUs = same ? std::max(quota->MembersMostUs, now - most.AgeUs) : now - most.AgeUs;
+        quota->MembersMaxUs = same ? std::max(quota->MembersMaxUs, now - most.AgeUs) : now - most.AgeUs;
     }
 }
 
 // An instance that changes its source is counted twice until its former report expires. So the minimum over a longer period is used.
 static void UpdateStableFleetSize(Quota* quota, double members, TimeUs now)
 {
-    quota->MembersLow = quota->MembersLowUs > 0 ? std::min(quota->MembersLow, members) : members;
-    quota->MembersLowUs = quota->MembersLowUs > 0 ? quota->MembersLowUs : now;
-    if (now - quota->MembersLowUs > 2 * quota->Config.MemberUs)
+    quota->MembersMin = quota->MembersMinUs > 0 ? std::min(quota->MembersMin, members) : members;
+    quota->MembersMinUs = quota->MembersMinUs > 0 ? quota->MembersMinUs : now;
+    if (now - quota->MembersMinUs > 2 * quota->Config.ReportExpiryUs)
     {
-        UpdateFleetSize(quota, {quota->MembersLow, 0}, now);
-        quota->MembersLow = members;
-        quota->MembersLowUs = now;
+        UpdateFleetSize(quota, {quota->MembersMin, 0}, now);
+        quota->MembersMin = members;
+        quota->MembersMinUs = now;
     }
 }
 
-static QuotaMost FleetSizeOf(const Quota& quota, TimeUs now)
+static QuotaFleetSize FleetSizeOf(const Quota& quota, TimeUs now)
 {
-    return {quota.MembersMost, now - quota.MembersMostUs};
+    return {quota.MembersMost, now - quota.MembersMaxUs};
 }
 
 static QuotaFleet UpdateFleet(Quota* quota, TimeUs now)
@@ -574,7 +574,7 @@
 {
     const auto limit_of = [quota](uint64_t id) -> std::optional<QuotaLimit>
     {
-        const NamedLimit* named = QuotaNamed(*quota, id);
+        const TargetLimit* named = QuotaNamed(*quota, id);
         return named != nullptr ? std::optional<QuotaLimit>(LimitOf(*quota, id, *named)) : std::nullopt;
     };
     return DecideAll(quota, limit_of, now);
@@ -593,7 +593,7 @@
 // Appends the limits of targets to the messages; adds messages when one is full. `in_last`: entries in the last message.
 template <class T> static void AppendLimits(const Quota& quota, std::vector<T>* messages, size_t in_last, TimeUs now)
 {
-    for (const NamedLimitNews& update : LimitUpdates(quota, now))
+    for (const TargetLimitUpdate& update : LimitUpdates(quota, now))
     {
         if (in_last == EntriesMax)
         {
@@ -636,7 +636,7 @@
     const auto valid = [](const QuotaReportEntry& entry)
     {
         return IsValidCount(entry.Count.Admitted) && IsValidCount(entry.Count.Leaving) && IsValidCount(entry.Count.Wanted) &&
-               IsValidCount(entry.Count.Rising);
+               IsValidCount(entry.Count.RecentWanted);
     };
     const bool whole = std::all_of(report.Entries.begin(), report.Entries.end(), valid);
     return whole && IsValidCount(report.Members) && IsValidCount(report.Covered);
--- a/winchlink_returns.cpp
+++ b/winchlink_returns.cpp
@@ -13,7 +13,7 @@
 {
     const TimeUs since = schedule->ServedUs > 0 ? schedule->ServedUs : now;
     const auto passed = static_cast<double>(std::max<TimeUs>(now - since, 0));
-    schedule->Served *= std::exp(-passed / static_cast<double>(schedule->MemoryUs));
+    schedule->Served *= std::exp(-passed / static_cast<double>(schedule->ServedDecayUs));
     schedule->ServedUs = now;
 }
 
@@ -27,7 +27,7 @@
 {
     DecayServed(schedule, now);
     constexpr double min_served = 0.5; // Lower bound, for times in which nothing was served.
-    const double interval = static_cast<double>(schedule->MemoryUs) / (schedule->Share * std::max(schedule->Served, min_served));
+    const double interval = static_cast<double>(schedule->ServedDecayUs) / (schedule->Share * std::max(schedule->Served, min_served));
     const TimeUs nearest = std::max(schedule->NextUs, now + schedule->LeastUs);
     schedule->NextUs = std::min(nearest + static_cast<TimeUs>(interval), now + schedule->MostUs);
     const double jitter = std::uniform_real_distribution<double>(1 - schedule->Spread, 1 + schedule->Spread)(*random);
