--- a/gateway/quota_link.cpp
+++ b/gateway/quota_link.cpp
@@ -221,9 +221,9 @@
         ReportToSource(link, subject);
         return;
     }
-    for (const std::string& contact : link->Contacts())
+    for (const std::string& seed : link->Contacts())
     {
-        SendReports(link, subject, contact, QuotaMessage_SeedReport);
+        SendReports(link, subject, seed, QuotaMessage_SeedReport);
     }
 }
 
@@ -244,10 +244,10 @@
         }
         return;
     }
-    const bool contact = message.Kind == QuotaMessage_SeedReport;
-    const bool unknown = QuotaHeardReport(known, from, message.Report, contact, now);
+    const bool from_seed = message.Kind == QuotaMessage_SeedReport;
+    const bool unknown = QuotaHeardReport(known, from, message.Report, from_seed, now);
     Decide(link, subject);
-    if (!contact)
+    if (!from_seed)
     {
         SendAnswers(link, subject, from);
     }
--- a/winchlink.h
+++ b/winchlink.h
@@ -890,7 +890,7 @@
     TimeUs DecideUs = 50 * UsPerMs;            // Minimum time between two decisions.
     TimeUs ReportExpiryUs = 750 * UsPerMs;     // Reports and decisions expire after this time: two in a row may be lost.
     TimeUs MembersExpiryUs = 60 * UsPerSecond; // Instances that stopped reporting are assumed to admit requests for this time.
-    TimeUs CorrectionUs = 1500 * UsPerMs;      // Time constant of the correction towards the target sum; above the delay of reports.
+    TimeUs CorrectionUs = 1500 * UsPerMs;      // Time constant of the correction of the window's sum; longer than the delay of reports.
     double CoveredMin = 0.5;                   // Below this covered part of the window, the fleet counts as just started.
     double EvenPartsMax = 3;                   // Maximum of an instance after a start of the fleet, in multiples of its even part.
     double MembersDefault = 100;               // Assumed number of instances while none is known.
@@ -918,7 +918,7 @@
     double Admitted = 0;     // Requests in the last window.
     double Leaving = 0;      // Admitted requests a second in the oldest second of the window, which expire next.
     double Wanted = 0;       // Requests a second, admitted or not, over the last second.
-    double RecentWanted = 0; // The same over the last one or two steps of the window, to detect sudden increases.
+    double RecentWanted = 0; // The same in the current or previous step, whichever has more; detects sudden increases.
 };
 
 // Requests counted in one step of the window.
@@ -1062,9 +1062,9 @@
 // The report for the source or for other seeds, as one or more messages.
 std::vector<QuotaReport> QuotaReports(const Quota& quota, TimeUs now);
 
-// Takes a report of another instance; `contact`: from another seed. Invalid reports are ignored. True if the sender was unknown: a seed
-// that has just started should get a report at once.
-bool QuotaHeardReport(Quota* quota, const std::string& from, const QuotaReport& report, bool contact, TimeUs now);
+// Takes a report of another instance; `from_seed`: the sender is another seed. Invalid reports are ignored. True if the sender was unknown:
+// a seed that has just started should get a report at once.
+bool QuotaHeardReport(Quota* quota, const std::string& from, const QuotaReport& report, bool from_seed, TimeUs now);
 
 // The decision for instances that report, as messages; empty if there is none.
 std::vector<QuotaAnswer> QuotaAnswers(const Quota& quota, TimeUs now);
--- a/winchlink_quota.cpp
+++ b/winchlink_quota.cpp
@@ -114,13 +114,13 @@
     for (const TargetLimitUpdate& update : updates)
     {
         const bool valid = IsValidCount(update.PerS) && update.AgeUs >= 0 && update.AgeUs <= quota->Config.NamedKeptUs;
-        const TimeUs heard = now - update.AgeUs;
+        const TimeUs received = now - update.AgeUs;
         const auto found = quota->Named.find(update.Id);
-        const bool newer = found == quota->Named.end() || heard > found->second.HeardUs;
+        const bool newer = found == quota->Named.end() || received > found->second.HeardUs;
         if (valid && newer)
         {
             const bool same = found != quota->Named.end() && found->second.PerS == update.PerS && found->second.InForce == update.InForce;
-            quota->Named[update.Id] = {update.PerS, update.InForce, heard};
+            quota->Named[update.Id] = {update.PerS, update.InForce, received};
             changed = changed || !same;
         }
     }
@@ -163,13 +163,13 @@
     const QuotaConfig& config = quota.Config;
     const int64_t current = now / StepUs(config);
     const int64_t second = StepsPerSecond(config);
-    const TimeUs up = std::max(now - quota.StartedUs, StepUs(config)); // Shortly after a start, rates are taken over this time.
+    const TimeUs uptime = std::max(now - quota.StartedUs, StepUs(config)); // Shortly after a start, rates are taken over this time.
     const double per_s = 1.0 / (static_cast<double>(second * StepUs(config)) * Seconds);
-    const double seen_per_s = std::max(per_s, 1.0 / (static_cast<double>(up) * Seconds));
+    const double seen_per_s = std::max(per_s, 1.0 / (static_cast<double>(uptime) * Seconds));
     QuotaCount count;
-    double lately = 0; // Requests in the last second, including the current step.
-    double before = 0; // The same, without the current step.
-    double rising = 0; // Requests in the current step or in the one before, whichever has more.
+    double last_second = 0; // Requests in the last second, including the current step.
+    double before = 0;      // The same, without the current step.
+    double recent = 0;      // Requests in the current step or in the one before, whichever has more.
     for (const QuotaStep& step : use.Counts)
     {
         const int64_t age = current - step.Number;
@@ -179,12 +179,12 @@
         }
         count.Admitted += step.Admitted;
         count.Leaving += age > QuotaUse::Steps - second ? step.Admitted * per_s : 0;
-        lately += age < second ? step.Wanted : 0;
+        last_second += age < second ? step.Wanted : 0;
         before += age >= 1 && age <= second ? step.Wanted : 0;
-        rising = age <= 1 ? std::max<double>(rising, step.Wanted) : rising;
+        recent = age <= 1 ? std::max<double>(recent, step.Wanted) : recent;
     }
-    count.RecentWanted = rising / (static_cast<double>(StepUs(config)) * Seconds);
-    count.Wanted = std::max(lately, before) * seen_per_s;
+    count.RecentWanted = recent / (static_cast<double>(StepUs(config)) * Seconds);
+    count.Wanted = std::max(last_second, before) * seen_per_s;
     return count;
 }
 
@@ -202,9 +202,9 @@
 {
     for (const auto& entry : members)
     {
-        for (const auto& [customer, heard] : entry.second.Counts)
+        for (const auto& [customer, reported] : entry.second.Counts)
         {
-            AddTo(&(*sums)[customer], heard.Count);
+            AddTo(&(*sums)[customer], reported.Count);
         }
     }
 }
@@ -240,8 +240,8 @@
 static QuotaFleet SubtreeFleet(const Quota& quota, TimeUs now)
 {
     QuotaFleet fleet;
-    const double up = static_cast<double>(now - quota.StartedUs) / static_cast<double>(quota.Config.WindowUs);
-    fleet.Covered = std::clamp(up, 0.0, 1.0);
+    const double uptime = static_cast<double>(now - quota.StartedUs) / static_cast<double>(quota.Config.WindowUs);
+    fleet.Covered = std::clamp(uptime, 0.0, 1.0);
     AddReportedMembers(&fleet, quota.Followers);
     return fleet;
 }
@@ -295,8 +295,8 @@
     return taken;
 }
 
-// Refills the allowance at a rate of `part` requests per window, up to `part` or 1. The first time, it starts with one request, or, in a
-// large fleet, with one or none by chance.
+// Refills the allowance at a rate of `part` requests per window, up to `part` or 1. The first time, it starts with one request, or, in
+// a large fleet, with one or none by chance.
 static void RefillAllowance(const Quota& quota, QuotaUse* use, double part, TimeUs now, Random* random)
 {
     const QuotaConfig& config = quota.Config;
@@ -391,9 +391,9 @@
     constexpr double least_share = 0.05; // Lower bound of the share, which limits the delay.
     const auto found = quota.Shares.find(customer);
     const double share = found != quota.Shares.end() ? std::max(found->second.Share, least_share) : 0.5;
-    const double turn = static_cast<double>(UsPerSecond) * std::max(0.5, 0.5 / share); // A smaller share means a longer delay.
+    const double delay = static_cast<double>(UsPerSecond) * std::max(0.5, 0.5 / share); // A smaller share means a longer delay.
     return static_cast<TimeUs>(std::uniform_real_distribution<double>(0.8, 1.2)(*random) *
-                               std::min(turn, static_cast<double>(quota.Config.WindowUs)));
+                               std::min(delay, static_cast<double>(quota.Config.WindowUs)));
 }
 
 //-----------------------------------------------------------------------------
@@ -642,17 +642,17 @@
     return whole && IsValidCount(report.Members) && IsValidCount(report.Covered);
 }
 
-bool QuotaHeardReport(Quota* quota, const std::string& from, const QuotaReport& report, bool contact, TimeUs now)
+bool QuotaHeardReport(Quota* quota, const std::string& from, const QuotaReport& report, bool from_seed, TimeUs now)
 {
-    if (!IsValid(report) || (contact && !quota->Decides))
+    if (!IsValid(report) || (from_seed && !quota->Decides))
     {
         return false;
     }
-    QuotaMember& member = (contact ? quota->Contacts : quota->Followers)[from];
+    QuotaMember& member = (from_seed ? quota->Contacts : quota->Followers)[from];
     const bool unknown = member.HeardUs == 0;
     UpdateFleetSize(quota, report.Most, now);
     ApplyLimitUpdates(quota, report.Named, now);
-    (contact ? quota->Followers : quota->Contacts).erase(from); // It may have become a seed, or ceased to be one.
+    (from_seed ? quota->Followers : quota->Contacts).erase(from); // It may have become a seed, or ceased to be one.
     member.HeardUs = now;
     member.Members = report.Members;
     member.Covered = report.Covered;
@@ -699,11 +699,11 @@
     UpdateFleetSize(quota, answer.Most, now);
     forward = ApplyLimitUpdates(quota, answer.Named, now) || forward;
     quota->Covered = answer.Covered;
-    for (const QuotaShare& told : answer.Shares)
+    for (const QuotaShare& entry : answer.Shares)
     {
-        if (IsValidCount(told.Share) && told.Share <= 1)
+        if (IsValidCount(entry.Share) && entry.Share <= 1)
         {
-            forward = SetShare(quota, told.Customer, told.Share, now) || forward;
+            forward = SetShare(quota, entry.Customer, entry.Share, now) || forward;
         }
     }
     return forward;
