--- a/winchlink_quota.cpp
+++ b/winchlink_quota.cpp
@@ -388,9 +388,9 @@
 
 TimeUs QuotaReturnTime(const Quota& quota, uint64_t customer, Random* random)
 {
-    constexpr double least_share = 0.05; // Lower bound of the share, which limits the delay.
+    constexpr double min_share = 0.05; // Lower bound of the share, which limits the delay.
     const auto found = quota.Shares.find(customer);
-    const double share = found != quota.Shares.end() ? std::max(found->second.Share, least_share) : 0.5;
+    const double share = found != quota.Shares.end() ? std::max(found->second.Share, min_share) : 0.5;
     const double delay = static_cast<double>(UsPerSecond) * std::max(0.5, 0.5 / share); // A smaller share means a longer delay.
     return static_cast<TimeUs>(std::uniform_real_distribution<double>(0.8, 1.2)(*random) *
                                std::min(delay, static_cast<double>(quota.Config.WindowUs)));
