--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -37,7 +37,7 @@
     row.Class = plan.Class;
     row.DeadlineMs = plan.DeadlineMs;
     row.HealthPath = plan.Asks ? "/health" : "";
-    row.RepeatMethods = {"GET"};
+    row.RetryMethods = {"GET"};
     return row;
 }
 
--- a/bench/process.cpp
+++ b/bench/process.cpp
@@ -110,8 +110,8 @@
     json_object_set_new(object, "peers", peers);
     json_object_set_new(object, "datagramPort", json_integer(settings.DatagramPort));
     json_object_set_new(object, "graceS", JsonSeconds(settings.GraceUs));
-    json_object_set_new(object, "repeatShare", json_real(settings.RepeatShare));
-    json_object_set_new(object, "repeatWindowS", JsonSeconds(settings.RepeatWindowUs));
+    json_object_set_new(object, "repeatShare", json_real(settings.RetryShare));
+    json_object_set_new(object, "repeatWindowS", JsonSeconds(settings.RetryWindowUs));
     std::ofstream(file) << DumpJson(object, JSON_COMPACT);
 }
 
--- a/bench/soak_parts.cpp
+++ b/bench/soak_parts.cpp
@@ -67,7 +67,7 @@
     settings.DatagramPort = soak.DatagramPort;
     settings.StoreAddress = instance.ToStore.Address;
     settings.GraceUs = SoakGraceUs;
-    settings.RepeatShare = repeat_share;
+    settings.RetryShare = repeat_share;
     for (size_t n = 0; n < soak.Instances.size() && n < ReadersMost; n++)
     {
         settings.Peers.push_back(soak.Instances[n]->PeerAddress);
--- a/bench/users_target.cpp
+++ b/bench/users_target.cpp
@@ -348,7 +348,7 @@
         return;
     }
     const std::string id = Line(target->Names.TargetId, target->Id);
-    const std::string cold = target->ColdMs > 0 ? Line(target->Names.ColdMs, std::to_string(target->ColdMs)) : "";
+    const std::string cold = target->ColdMs > 0 ? Line(target->Names.WarmupMs, std::to_string(target->ColdMs)) : "";
     const int status = target->Ill ? 503 : 200;
     Write(connection, fmt::format("HTTP/1.1 {} Health\r\n{}{}{}Content-Length: 0\r\n\r\n", status, id, cold, Sayings(*target, status)));
 }
--- a/gateway/adapter.h
+++ b/gateway/adapter.h
@@ -46,8 +46,8 @@
 struct StoreItems
 {
     std::vector<StoreItem> List;
-    uint64_t At = 0;         // Revision of the store.
-    bool Everything = false; // List is a full snapshot; otherwise it holds the changes.
+    uint64_t Revision = 0;         // Revision of the store.
+    bool IsSnapshot = false; // List is a full snapshot; otherwise it holds the changes.
     TimeUs Now = 0;          // Current time, to convert remaining times to points in time.
 };
 
--- a/gateway/attempt.cpp
+++ b/gateway/attempt.cpp
@@ -115,9 +115,9 @@
 // One request of this instance at the target has ended.
 static void ReleaseSlot(PoolTarget* target, const Attempt& attempt)
 {
-    const bool unreported = target->ReportUs < attempt.SentUs && target->Since > 0;
+    const bool unreported = target->ReportUs < attempt.SentUs && target->SentSinceReport > 0;
     target->InFlight--;
-    target->Since -= unreported ? 1 : 0;
+    target->SentSinceReport -= unreported ? 1 : 0;
 }
 
 static void LearnFromAnswer(const CallPtr& call, const Attempt& attempt, const ClientAnswer& answer, Verdict_ verdict)
@@ -137,7 +137,7 @@
     const std::optional<LoadReport> report = ReadLoad(*forwarder, answer.Headers);
     if (report)
     {
-        call->Service->Pool.TellsLoad = true;
+        call->Service->Pool.ReportsLoad = true;
         PoolReport(target, *report, NowUs());
     }
     if (verdict == Verdict_Relay && answer.Status < 500)
@@ -180,7 +180,7 @@
 static bool TakeRetry(const CallPtr& call, double part)
 {
     const TimeUs now = NowUs();
-    const bool taken = RepeatBudgetTake(&call->Service->Repeats, part, now);
+    const bool taken = RepeatBudgetTake(&call->Service->Retries, part, now);
     if (taken)
     {
         call->RetryTakenUs = now;
@@ -208,10 +208,10 @@
     }
     if (!WasSent(answer))
     {
-        return call->Tried.size() < max_targets;
+        return call->SentTo.size() < max_targets;
     }
     const bool allowed = call->Retryable || call->MayHaveRun == 0;
-    return allowed && call->Attempts < call->MatchedRoute->AttemptsMost && TakeRetry(call, 1.0);
+    return allowed && call->Attempts < call->MatchedRoute->AttemptsMax && TakeRetry(call, 1.0);
 }
 
 // A target that refuses a request although it reports free slots is unhealthy, not busy.
@@ -326,7 +326,7 @@
     if (!WasSent(answer))
     {
         call->Attempts--;
-        QuotaReturn(&call->Owner->TargetLimits, call->LastAttempt.Grant.LifeId, call->LastAttempt.Grant.TakenUs);
+        QuotaReturn(&call->Owner->TargetLimits, call->LastAttempt.Grant.IncarnationId, call->LastAttempt.Grant.TakenUs);
     }
     call->MayHaveRun += verdict == Verdict_NotRun ? 0 : 1;
     if (verdict == Verdict_Relay && answer.Status < 500)
@@ -383,7 +383,7 @@
     request.TimeoutUs = LeftUs(*call, now) + UsPerSecond; // DeadlineTimer fires first.
     request.ConnectUs = call->Owner->Config.ConnectUs;
     // Checked again right before sending: the target or the request may have become unusable since the choice.
-    request.MaySend = [call, id = target.Id, entry = target.Entry]()
+    request.MaySend = [call, id = target.Id, entry = target.Generation]()
     {
         const PoolTarget* found = PoolFindEntry(&call->Service->Pool, id, entry);
         const bool usable = found != nullptr && PoolMayUse(*found, NowUs());
@@ -394,7 +394,7 @@
         const std::string* id = FindHeader(headers, call->Owner->Names.RequestId);
         return id != nullptr ? *id == call->Id : !call->Owner->Names.AnswersNameRequest;
     };
-    request.OnHeaders = [call, source = SignalSource{target.Id, target.Life, false}](int status, const std::vector<Header>& headers)
+    request.OnHeaders = [call, source = SignalSource{target.Id, target.Incarnation, false}](int status, const std::vector<Header>& headers)
     {
         HearTarget(call->Owner, call->Service, source, status, headers);
     };
@@ -413,7 +413,7 @@
     const TimeUs now = NowUs();
     PenalizeTargets(*call);
     const bool time_left = static_cast<double>(LeftUs(*call, now)) > call->Work->MeanUs;
-    if (!call->Retryable || call->Attempts >= call->MatchedRoute->AttemptsMost || !time_left || !IsKeyValid(*call))
+    if (!call->Retryable || call->Attempts >= call->MatchedRoute->AttemptsMax || !time_left || !IsKeyValid(*call))
     {
         return;
     }
@@ -438,7 +438,7 @@
 {
     if (call->RetryTakenUs > 0)
     {
-        RepeatBudgetReturn(&call->Service->Repeats, call->RetryTakenUs);
+        RepeatBudgetReturn(&call->Service->Retries, call->RetryTakenUs);
         call->RetryTakenUs = 0;
     }
 }
@@ -454,7 +454,7 @@
 {
     for (const LimitGrant& grant : call->Grants)
     {
-        QuotaReturn(&call->Owner->TargetLimits, grant.LifeId, grant.TakenUs);
+        QuotaReturn(&call->Owner->TargetLimits, grant.IncarnationId, grant.TakenUs);
     }
     call->Grants.clear();
 }
@@ -465,7 +465,7 @@
     LimitGrant taken;
     const auto is_for = [&target](const LimitGrant& grant)
     {
-        return grant.LifeId == target.LifeId;
+        return grant.IncarnationId == target.IncarnationId;
     };
     const auto found = std::find_if(call->Grants.begin(), call->Grants.end(), is_for);
     if (found != call->Grants.end())
@@ -483,12 +483,12 @@
     Attempt attempt;
     attempt.Target = target.Id;
     attempt.Address = target.Address;
-    attempt.Life = target.Life;
-    attempt.Entry = target.Entry;
+    attempt.Incarnation = target.Incarnation;
+    attempt.Entry = target.Generation;
     attempt.SentUs = now;
     attempt.Report = target.Report;
     attempt.ReportUs = target.ReportUs;
-    attempt.NearlyFull = PoolNearlyFull(pool.Config, target.Report, target.Since);
+    attempt.NearlyFull = PoolNearlyFull(pool.Config, target.Report, target.SentSinceReport);
     attempt.ExpectedUs = PoolCost(pool, target, now) * call.Work->MeanUs;
     return attempt;
 }
@@ -500,7 +500,7 @@
     const TimeUs now = NowUs();
     Attempt attempt = MakeAttempt(*call, *target, now);
     call->Choosing = Choosing_None;
-    call->Tried.push_back(target->Id);
+    call->SentTo.push_back(target->Id);
     call->Attempts++;
     call->RetryTakenUs = 0;
     attempt.Grant = TakeGrant(call.get(), *target);
--- a/gateway/call.h
+++ b/gateway/call.h
@@ -24,7 +24,7 @@
 // A request counted against a target's rate limit, see QuotaTakeNamed().
 struct LimitGrant
 {
-    uint64_t LifeId = 0; // Id of the target's incarnation, see TargetLifeId(); 0 if the request is not counted.
+    uint64_t IncarnationId = 0; // Id of the target's incarnation, see TargetLifeId(); 0 if the request is not counted.
     TimeUs TakenUs = 0;  // Time at which it was counted.
 };
 
@@ -34,7 +34,7 @@
     uint64_t Id = 0;         // Id returned by ClientSend().
     std::string Target;      // Id of the target.
     std::string Address;     // IP:port of the target.
-    uint64_t Life = 0;       // Incarnation of the target.
+    uint64_t Incarnation = 0;       // Incarnation of the target.
     uint64_t Entry = 0;      // Pool entry of the target, see PoolTarget::Entry.
     TimeUs SentUs = 0;       // Start of the attempt.
     LoadReport Report;       // Last known load of the target when it was chosen.
@@ -65,15 +65,15 @@
     std::string Id;               // Request id, from the caller or generated.
     std::string Key;              // Identifies the request across the caller's tries, see CallKey(); empty until first used.
     bool Retryable = false;       // The request may be run more than once.
-    const Customer* By = nullptr; // Customer whose key came with the request; null if there is none.
-    KeyHash ByKey = {};           // Hash of that key.
+    const Customer* KeyOwner = nullptr; // Customer whose key came with the request; null if there is none.
+    KeyHash CallerKeyHash = {};           // Hash of that key.
     TimeUs QuotaTakenUs = 0;      // Time at which it was counted against its customer's quota; 0 if it was not.
     TimeUs CallerDeadlineUs = 0;  // Deadline named by the caller; retry advice stays within it.
     TimeUs DeadlineUs = 0;        // Deadline of this call: the earlier of the caller's deadline and the route's timeout.
     TimeUs ChooseDeadlineUs = 0;  // End of the time for choosing a target.
     Choosing_ Choosing = Choosing_None;
     std::vector<std::string> Probed;    // Targets considered in this round of choosing.
-    std::vector<std::string> Tried;     // Targets to which the request was sent.
+    std::vector<std::string> SentTo;     // Targets to which the request was sent.
     std::vector<std::string> OverLimit; // Targets skipped in this round because they are at their rate limits.
     std::vector<LimitGrant> Grants;     // Taken for candidate targets; those not used are returned.
     int ProbesInFlight = 0;             // Probes that await an answer.
@@ -90,7 +90,7 @@
     bool Ended = false;                       // The caller was answered, or has gone.
     Timer DeadlineTimer;                      // Fires at DeadlineUs; before there is a plan, when FirstPlanUs ends.
     Timer SlowProbeTimer;                     // Fires when a probe is slow.
-    Timer Again;                              // Probes again after all targets were busy.
+    Timer ProbeRetryTimer;                              // Probes again after all targets were busy.
     Timer HedgeTimer;                         // Fires when the first attempt is slow, or when a hedge is to be tried again.
 };
 
@@ -120,7 +120,7 @@
 // Priority of the request: the customer's, else the route's. 0 is the most urgent.
 inline int PriorityOf(const Call& call)
 {
-    return call.By != nullptr && call.By->Priority ? *call.By->Priority : call.MatchedRoute->Priority;
+    return call.KeyOwner != nullptr && call.KeyOwner->Priority ? *call.KeyOwner->Priority : call.MatchedRoute->Priority;
 }
 
 //-----------------------------------------------------------------------------
--- a/gateway/caller_connection.cpp
+++ b/gateway/caller_connection.cpp
@@ -158,7 +158,7 @@
     {
         return false;
     }
-    return requests.empty() || (requests.back()->Started && requests.back()->CanOverlap && requests.size() < listener.Config.OverlapMost);
+    return requests.empty() || (requests.back()->Started && requests.back()->CanOverlap && requests.size() < listener.Config.OverlapMax);
 }
 
 static void AddRequest(Listener* listener, CallerConnection* connection)
--- a/gateway/choose.cpp
+++ b/gateway/choose.cpp
@@ -43,11 +43,11 @@
     }
     if (answer.End == ClientEnd_Answered)
     {
-        AskTimeAnswered(&service->Asks);
+        AskTimeAnswered(&service->ProbeTimeout);
     }
     else if (answer.End == ClientEnd_TimedOut)
     {
-        AskTimeLate(&service->Asks);
+        AskTimeLate(&service->ProbeTimeout);
     }
     if (answer.End != ClientEnd_Answered || answer.Status != 200 || (answering_id == nullptr && !names.TargetId.empty()))
     {
@@ -55,7 +55,7 @@
         return;
     }
     const std::optional<LoadReport> report = ReadLoad(*forwarder, answer.Headers);
-    service->Pool.TellsLoad = report.has_value();
+    service->Pool.ReportsLoad = report.has_value();
     if (report)
     {
         PoolReport(target, *report, NowUs());
@@ -70,7 +70,7 @@
 // Whether this instance may open one more connection to the target.
 static bool MayConnect(const Call& call, const PoolTarget& target)
 {
-    const int most = call.Spec->ConnectionsMost;
+    const int most = call.Spec->ConnectionsMax;
     return most == 0 || target.InFlight < most;
 }
 
@@ -85,10 +85,10 @@
 {
     const auto holds = [&target](const LimitGrant& grant)
     {
-        return grant.LifeId == target.LifeId;
+        return grant.IncarnationId == target.IncarnationId;
     };
     Quota* limits = &call->Owner->TargetLimits;
-    if (QuotaNamed(*limits, target.LifeId) == nullptr || std::any_of(call->Grants.begin(), call->Grants.end(), holds))
+    if (QuotaNamed(*limits, target.IncarnationId) == nullptr || std::any_of(call->Grants.begin(), call->Grants.end(), holds))
     {
         return true;
     }
@@ -96,9 +96,9 @@
     {
         return false;
     }
-    if (QuotaTakeNamed(limits, target.LifeId, now, call->Owner->Rng))
+    if (QuotaTakeNamed(limits, target.IncarnationId, now, call->Owner->Rng))
     {
-        call->Grants.push_back({target.LifeId, now});
+        call->Grants.push_back({target.IncarnationId, now});
         return true;
     }
     call->Service->Signals.OverLimit++;
@@ -126,7 +126,7 @@
 static bool MeetsDeadline(const Call& call, double cost, TimeUs now)
 {
     const bool sent = call.MayHaveRun > 0 || !call.Active.empty();
-    const TimeUs left = sent ? LeftUs(call, now) : call.Inbound->ArrivedUs + call.MatchedRoute->AimUs - now;
+    const TimeUs left = sent ? LeftUs(call, now) : call.Inbound->ArrivedUs + call.MatchedRoute->LatencyObjectiveUs - now;
     return cost * call.Work->MeanUs < static_cast<double>(left);
 }
 
@@ -134,7 +134,7 @@
 static std::vector<std::string> ExcludedTargets(const Call& call)
 {
     std::vector<std::string> all = call.Probed;
-    all.insert(all.end(), call.Tried.begin(), call.Tried.end());
+    all.insert(all.end(), call.SentTo.begin(), call.SentTo.end());
     return all;
 }
 
@@ -173,7 +173,7 @@
     for (const std::string& id : call->Probed)
     {
         PoolTarget* target = PoolFind(&pool, id);
-        const bool has_report = target != nullptr && target->ReportUs > 0 && now < target->ReportUs + pool.Config.ReportUs;
+        const bool has_report = target != nullptr && target->ReportUs > 0 && now < target->ReportUs + pool.Config.ReportMaxAgeUs;
         const bool usable = has_report && HasCapacity(call, *target, now);
         if (usable && (best == nullptr || PoolCost(pool, *target, now) < PoolCost(pool, *best, now)))
         {
@@ -185,7 +185,7 @@
 
 static void ProbeAgain(const CallPtr& call)
 {
-    call->Again = nullptr;
+    call->ProbeRetryTimer = nullptr;
     if (NowUs() < call->ChooseDeadlineUs)
     {
         call->Probed.clear();
@@ -220,7 +220,7 @@
     }
     if (may_wait)
     {
-        call->Again = TimerStart(call->Owner->Loop, config.AskAgainUs, [call]() { ProbeAgain(call); });
+        call->ProbeRetryTimer = TimerStart(call->Owner->Loop, config.AskAgainUs, [call]() { ProbeAgain(call); });
         call->Service->Waiting.push_back(call);
         return;
     }
@@ -235,7 +235,7 @@
 static void OnProbed(const CallPtr& call, const std::string& id, bool answered)
 {
     call->ProbesInFlight--;
-    if (call->Choosing == Choosing_None || call->Again)
+    if (call->Choosing == Choosing_None || call->ProbeRetryTimer)
     {
         return;
     }
@@ -251,8 +251,8 @@
 
 static void OnProbeAnswer(Forwarder* forwarder, ServiceState* service, const std::string& id, uint64_t entry, const ClientAnswer& answer)
 {
-    const std::vector<CallPtr> askers = std::move(service->Questions[id]);
-    service->Questions.erase(id);
+    const std::vector<CallPtr> askers = std::move(service->Probes[id]);
+    service->Probes.erase(id);
     LearnFromProbe(forwarder, service, id, entry, answer);
     for (const CallPtr& asker : askers)
     {
@@ -268,7 +268,7 @@
     ClientRequest request;
     request.Address = target.Address;
     request.Target = call.Spec->HealthPath;
-    request.TimeoutUs = AskTimeNow(service->Asks);
+    request.TimeoutUs = AskTimeNow(service->ProbeTimeout);
     const std::string id = target.Id;
     const std::string id_header = forwarder->Names.TargetId;
     // The late answer to a cancelled request may arrive on this connection instead; it lacks this header.
@@ -276,7 +276,7 @@
     {
         return id_header.empty() || FindHeader(headers, id_header) != nullptr;
     };
-    request.OnHeaders = [forwarder, service, source = SignalSource{id, target.Life, true}](int status, const std::vector<Header>& headers)
+    request.OnHeaders = [forwarder, service, source = SignalSource{id, target.Incarnation, true}](int status, const std::vector<Header>& headers)
     {
         const std::string* answering_id = FindHeader(headers, forwarder->Names.TargetId);
         if (answering_id == nullptr || *answering_id == source.Target) // Another target may have taken over the address.
@@ -285,7 +285,7 @@
         }
     };
     ClientSend(forwarder->Targets, std::move(request),
-               [forwarder, service, id, entry = target.Entry](const ClientAnswer& answer)
+               [forwarder, service, id, entry = target.Generation](const ClientAnswer& answer)
                { OnProbeAnswer(forwarder, service, id, entry, answer); });
 }
 
@@ -293,7 +293,7 @@
 static void OnSlowProbe(const CallPtr& call)
 {
     call->SlowProbeTimer = nullptr;
-    if (call->Choosing != Choosing_None && !call->Again)
+    if (call->Choosing != Choosing_None && !call->ProbeRetryTimer)
     {
         call->MaxConcurrentProbes++;
         ProbeMore(call);
@@ -303,7 +303,7 @@
 // Probes the target, or shares the answer to a probe that another request has in flight.
 static void Probe(const CallPtr& call, const PoolTarget& target)
 {
-    std::vector<CallPtr>& askers = call->Service->Questions[target.Id];
+    std::vector<CallPtr>& askers = call->Service->Probes[target.Id];
     call->ProbesInFlight++;
     call->ProbeCount++;
     askers.push_back(call);
@@ -322,7 +322,7 @@
     const TimeUs now = NowUs();
     for (;;)
     {
-        std::vector<std::string> passed = call->Tried;
+        std::vector<std::string> passed = call->SentTo;
         passed.insert(passed.end(), call->OverLimit.begin(), call->OverLimit.end());
         PoolTarget* target = PoolNextUnasked(&call->Service->Pool, passed, !call->Retryable, now, call->Owner->Rng);
         if (target == nullptr || TakeLimit(call, *target, now))
@@ -355,7 +355,7 @@
     {
         return;
     }
-    if (!call->Service->Pool.TellsLoad || call->Spec->HealthPath.empty())
+    if (!call->Service->Pool.ReportsLoad || call->Spec->HealthPath.empty())
     {
         SendUnprobed(call);
         return;
@@ -365,7 +365,7 @@
     while (now < call->ChooseDeadlineUs && call->OverLimit.size() < config.MaxOverLimit)
     {
         PoolTarget* next = PoolNext(&call->Service->Pool, ExcludedTargets(*call), !call->Retryable, now);
-        const bool known = next != nullptr && next->ReportUs > 0 && now < next->ReportUs + config.ReuseUs;
+        const bool known = next != nullptr && next->ReportUs > 0 && now < next->ReportUs + config.ReportReuseUs;
         if (next == nullptr || (!known && (call->ProbesInFlight >= call->MaxConcurrentProbes ||
                                            call->ProbeCount - call->ProbeCountBefore >= config.MaxProbes)))
         {
@@ -400,7 +400,7 @@
     call->OverLimit.clear();
     call->ProbeCountBefore = call->ProbeCount;
     call->MaxConcurrentProbes = 1;
-    call->ChooseDeadlineUs = NowUs() + static_cast<TimeUs>(share * static_cast<double>(call->MatchedRoute->AimUs));
+    call->ChooseDeadlineUs = NowUs() + static_cast<TimeUs>(share * static_cast<double>(call->MatchedRoute->LatencyObjectiveUs));
     ProbeMore(call);
 }
 
@@ -415,12 +415,12 @@
     for (const std::weak_ptr<Call>& entry : service->Waiting)
     {
         const CallPtr waiting = entry.lock();
-        if (!waiting || !waiting->Again)
+        if (!waiting || !waiting->ProbeRetryTimer)
         {
             continue; // It is probing again, or has ended.
         }
         still_waiting.push_back(entry);
-        const bool already_tried = std::find(waiting->Tried.begin(), waiting->Tried.end(), target_id) != waiting->Tried.end();
+        const bool already_tried = std::find(waiting->SentTo.begin(), waiting->SentTo.end(), target_id) != waiting->SentTo.end();
         first = already_tried ? first : !first || PriorityOf(*waiting) < PriorityOf(*first) ? waiting : first;
     }
     service->Waiting = std::move(still_waiting);
@@ -428,7 +428,7 @@
     const bool told = target != nullptr && target->ReportUs > 0;
     if (first && told && IsGood(first.get(), *target, NowUs()))
     {
-        first->Again = nullptr;
+        first->ProbeRetryTimer = nullptr;
         SendTo(first, target);
     }
 }
--- a/gateway/client.cpp
+++ b/gateway/client.cpp
@@ -154,7 +154,7 @@
     }
     Client* client = call->Owner;
     client->SilencesSeen++;
-    client->Silent[call->Request.Address] = NowUs();
+    client->DeadSince[call->Request.Address] = NowUs();
     Log(LogLevel_Info, Code_None, "kept connection silent", {{"address", call->Request.Address}, {"tookUs", call->Answer.TookUs}});
 }
 
@@ -162,15 +162,15 @@
 // second is subtracted, and during the first two seconds a new connection is forced.
 static void AvoidSilent(Client* client, const ClientRequest& request, CURL* easy)
 {
-    const auto found = client->Silent.find(request.Address);
-    if (found == client->Silent.end())
+    const auto found = client->DeadSince.find(request.Address);
+    if (found == client->DeadSince.end())
     {
         return;
     }
     const auto seconds = static_cast<long>((NowUs() - found->second) / UsPerSecond);
     if (seconds > MaxIdleReuseSeconds)
     {
-        client->Silent.erase(found); // Connections that were open then are too old for reuse by now.
+        client->DeadSince.erase(found); // Connections that were open then are too old for reuse by now.
         return;
     }
     if (seconds < 2)
--- a/gateway/forward.cpp
+++ b/gateway/forward.cpp
@@ -29,10 +29,10 @@
 {
     RowMetrics& metrics = call.Service != nullptr ? call.Service->Metrics : call.Owner->Unrouted;
     CountEnded(&metrics, code);
-    metrics.Repeats += static_cast<uint64_t>(std::max(call.Attempts - 1, 0));
+    metrics.Retries += static_cast<uint64_t>(std::max(call.Attempts - 1, 0));
     if (code == Code_None)
     {
-        ReturnScheduleServed(&call.Service->Returns, NowUs());
+        ReturnScheduleServed(&call.Service->RetryTimes, NowUs());
         LatencyAdd(&metrics.Latency, NowUs() - call.Inbound->ArrivedUs);
         LatencyAdd(&call.Owner->ByPriority[PriorityOf(call)], NowUs() - call.Inbound->ArrivedUs);
     }
@@ -47,7 +47,7 @@
           {{"requestId", call.Id},
            {"route", call.MatchedRoute != nullptr ? call.MatchedRoute->Name : ""},
            {"service", call.ServiceName},
-           {"customer", call.By != nullptr ? call.By->Name : ""},
+           {"customer", call.KeyOwner != nullptr ? call.KeyOwner->Name : ""},
            {"plan", call.Plan ? call.Plan->Version : 0},
            {"target", last.Target},
            {"status", status},
@@ -72,7 +72,7 @@
     call->Ended = true;
     call->Choosing = Choosing_None;
     call->DeadlineTimer = nullptr;
-    call->Again = nullptr;
+    call->ProbeRetryTimer = nullptr;
     call->SlowProbeTimer = nullptr;
     call->HedgeTimer = nullptr;
     call->Owner->InProgress--;
@@ -84,11 +84,11 @@
     }
     if (call->QuotaTakenUs > 0 && call->MayHaveRun == 0)
     {
-        QuotaReturn(&call->Owner->Quotas, call->By->Id, call->QuotaTakenUs);
+        QuotaReturn(&call->Owner->Quotas, call->KeyOwner->Id, call->QuotaTakenUs);
     }
     CountCall(*call, code);
     LogEnd(*call, code, reply.Status, detail);
-    reply.CloseConnection = reply.CloseConnection || call->Owner->Leaving;
+    reply.CloseConnection = reply.CloseConnection || call->Owner->Draining;
     Reply(call->Inbound, std::move(reply));
 }
 
@@ -126,7 +126,7 @@
     for (const std::string& id : call.OverLimit)
     {
         const PoolTarget* target = PoolFind(&call.Service->Pool, id);
-        const TimeUs turn = target != nullptr ? QuotaNamedTurn(call.Owner->TargetLimits, target->LifeId) : 0;
+        const TimeUs turn = target != nullptr ? QuotaNamedTurn(call.Owner->TargetLimits, target->IncarnationId) : 0;
         per_us += turn > 0 ? 1.0 / static_cast<double>(turn) : 0;
     }
     return per_us > 0 ? static_cast<TimeUs>(1.0 / per_us) : 0;
@@ -144,7 +144,7 @@
     const TimeUs now = NowUs();
     const auto left = static_cast<double>(std::max<TimeUs>(call->CallerDeadlineUs - now, 0));
     const auto max_wait = static_cast<TimeUs>(call->Owner->Config.MaxRetryAfterShare * left);
-    const TimeUs return_wait = ReturnScheduleTake(&call->Service->Returns, now, call->Owner->Rng);
+    const TimeUs return_wait = ReturnScheduleTake(&call->Service->RetryTimes, now, call->Owner->Rng);
     EndCallWith(call, code, detail, std::min(return_wait + TargetWaitUs(*call, code, now), max_wait));
 }
 
@@ -189,12 +189,12 @@
 bool IsKeyValid(const Call& call)
 {
     const RoutePlanPtr& plan = call.Owner->Plan;
-    if (call.By == nullptr || plan == call.Plan)
+    if (call.KeyOwner == nullptr || plan == call.Plan)
     {
         return true;
     }
-    const Customer* by = FindCustomer(plan->Callers, call.ByKey);
-    return by != nullptr && by->Id == call.By->Id;
+    const Customer* by = FindCustomer(plan->Callers, call.CallerKeyHash);
+    return by != nullptr && by->Id == call.KeyOwner->Id;
 }
 
 // Finds the customer by the request's API key and replaces the key header by the customer's name. Returns false if the request was refused.
@@ -203,10 +203,10 @@
     Forwarder* forwarder = call->Owner;
     std::vector<Header>& headers = call->Inbound->Headers;
     const std::optional<KeyHash> key = ReadCallerKey(headers);
-    call->By = key ? FindCustomer(call->Plan->Callers, *key) : nullptr;
-    call->ByKey = key.value_or(KeyHash());
-    ReplaceCallerKey(&headers, forwarder->Names.Customer, call->By != nullptr ? call->By->Name : "");
-    if (call->By != nullptr || call->MatchedRoute->Public)
+    call->KeyOwner = key ? FindCustomer(call->Plan->Callers, *key) : nullptr;
+    call->CallerKeyHash = key.value_or(KeyHash());
+    ReplaceCallerKey(&headers, forwarder->Names.Customer, call->KeyOwner != nullptr ? call->KeyOwner->Name : "");
+    if (call->KeyOwner != nullptr || call->MatchedRoute->Public)
     {
         return true;
     }
@@ -224,20 +224,20 @@
 static bool TakeQuota(const CallPtr& call)
 {
     Forwarder* forwarder = call->Owner;
-    if (call->By == nullptr || call->By->RatePerS <= 0)
+    if (call->KeyOwner == nullptr || call->KeyOwner->RatePerS <= 0)
     {
         return true;
     }
     const TimeUs now = NowUs();
-    CustomerMetrics* counters = CustomerCounters(&forwarder->ByCustomer, call->By->Name);
-    if (QuotaTake(&forwarder->Quotas, *call->By, now, forwarder->Rng))
+    CustomerMetrics* counters = CustomerCounters(&forwarder->ByCustomer, call->KeyOwner->Name);
+    if (QuotaTake(&forwarder->Quotas, *call->KeyOwner, now, forwarder->Rng))
     {
         call->QuotaTakenUs = now;
         counters->Admitted++;
         return true;
     }
     counters->Refused++;
-    EndCallWith(call, Code_QuotaUsedUp, call->By->Name, QuotaReturnTime(forwarder->Quotas, call->By->Id, forwarder->Rng));
+    EndCallWith(call, Code_QuotaUsedUp, call->KeyOwner->Name, QuotaReturnTime(forwarder->Quotas, call->KeyOwner->Id, forwarder->Rng));
     return false;
 }
 
@@ -293,7 +293,7 @@
     call->Service->InProgress++;
     call->Work = &forwarder->Work[call->MatchedRoute->Name];
     SetDeadline(call, *asked);
-    RepeatBudgetRequest(&call->Service->Repeats, NowUs());
+    RepeatBudgetRequest(&call->Service->Retries, NowUs());
     if (call->Spec == nullptr)
     {
         EndCallWith(call, Code_NoTargetLeft, "service not in plan", forwarder->Config.EmptyRetryUs);
@@ -304,7 +304,7 @@
         EndCallQuarantined(call);
         return;
     }
-    if (call->Spec->RequestsMost > 0 && call->Service->InProgress > call->Spec->RequestsMost)
+    if (call->Spec->RequestsMax > 0 && call->Service->InProgress > call->Spec->RequestsMax)
     {
         EndCallBusy(call, Code_RowLimit, "");
         return;
@@ -330,7 +330,7 @@
         return;
     }
     call->Retryable = MayRepeat(*call->MatchedRoute, call->Inbound->Method);
-    if (!call->Plan->Callers.Required || IdentifyCustomer(call))
+    if (!call->Plan->Callers.KeyRequired || IdentifyCustomer(call))
     {
         AdmitCall(call);
     }
@@ -406,8 +406,8 @@
     for (const ServiceInfo& service : forwarder->Plan->Services)
     {
         ServiceState& state = forwarder->Services[service.Name];
-        state.Repeats.Share = forwarder->Config.RepeatShare;
-        state.Repeats.WindowUs = forwarder->Config.RepeatWindowUs;
+        state.Retries.Share = forwarder->Config.RetryShare;
+        state.Retries.WindowUs = forwarder->Config.RetryWindowUs;
         state.Pool.Config.ColdPerS = service.ColdPerS;
         state.Pool.Config.ColdUs = service.ColdUs;
     }
--- a/gateway/forward.h
+++ b/gateway/forward.h
@@ -23,7 +23,7 @@
     TimeUs SlowProbeUs = 5 * UsPerMs;       // A probe that takes longer is slow: another target is probed beside it.
     int MaxProbes = 8;                      // Probes for one attempt.
     size_t MaxOverLimit = 64;               // Targets at their rate limits that are skipped for one attempt: bounds the time spent on them.
-    TimeUs ReuseUs = 8 * UsPerMs;           // A target with a younger report is not probed again.
+    TimeUs ReportReuseUs = 8 * UsPerMs;           // A target with a younger report is not probed again.
     TimeUs AskAgainUs = 20 * UsPerMs;       // All targets busy: delay before probing again.
     double MaxChooseShare = 0.2;            // Part of a route's latency objective that choosing a target may take.
     int MaxUnprobedFactor = 2;              // Where targets report no load: bounds own requests at one target, as a multiple of its slots.
@@ -36,8 +36,8 @@
     double SlowFactor = 1.7;                // An attempt that takes so many times as long as expected is slow.
     double HedgeShare = 0.4;                // Part of the retry budget that hedged requests may use.
     TimeUs HedgeRetryUs = 50 * UsPerMs;     // No target found for a hedge: delay before trying again.
-    double RepeatShare = 0.2;               // See RepeatBudget.
-    TimeUs RepeatWindowUs = 10 * UsPerSecond; // See RepeatBudget.
+    double RetryShare = 0.2;               // See RepeatBudget.
+    TimeUs RetryWindowUs = 10 * UsPerSecond; // See RepeatBudget.
 };
 
 struct Call;
@@ -47,8 +47,8 @@
 {
     uint64_t Limits = 0;     // Rate limits.
     uint64_t Backoffs = 0;   // Requests for backoff.
-    uint64_t Leaving = 0;    // Notices that they are draining.
-    uint64_t Unreadable = 0; // Invalid values.
+    uint64_t Draining = 0;    // Notices that they are draining.
+    uint64_t Invalid = 0; // Invalid values.
     uint64_t OverLimit = 0;  // Targets skipped because they were at their rate limits.
 };
 
@@ -56,12 +56,12 @@
 struct ServiceState
 {
     TargetPool Pool;
-    RepeatBudget Repeats;
-    AskTime Asks;                             // Timeout of probes, adapted to the targets' response times.
-    ReturnSchedule Returns;                   // Computes Retry-After for callers refused because targets were busy.
+    RepeatBudget Retries;
+    AskTime ProbeTimeout;                             // Timeout of probes, adapted to the targets' response times.
+    ReturnSchedule RetryTimes;                   // Computes Retry-After for callers refused because targets were busy.
     std::vector<std::weak_ptr<Call>> Waiting; // Requests that found all targets busy and will probe again.
     // Probes in flight, by target id: the requests that await the answer.
-    std::map<std::string, std::vector<std::shared_ptr<Call>>> Questions;
+    std::map<std::string, std::vector<std::shared_ptr<Call>>> Probes;
     int InProgress = 0;                      // Requests not answered yet.
     std::optional<std::string> FollowedFrom; // Value of Forwarder::DataCentre at the last update of Pool.
     RowMetrics Metrics;
@@ -87,12 +87,12 @@
     std::vector<std::shared_ptr<Call>> Unplanned; // Requests that wait for the first plan.
     std::function<void()> OnNeeded;               // Called each time NeedyCallers more of them wait; may be empty.
     TargetDirectory Directory;
-    Timer Following;                              // Calls ForwarderFollow() once the current event has been handled.
+    Timer FollowTimer;                              // Calls ForwarderFollow() once the current event has been handled.
     Quota Quotas;                                 // Customers' quotas.
     Quota TargetLimits;                           // Rate limits set by targets.
     std::function<void()> OnLimit;                // Called after each change of TargetLimits; may be empty.
-    Quarantine Held;                              // Requests that crash targets.
-    SilentEnds Silent;                            // Attempts that ended without an answer: a crash of their target may be detected later.
+    Quarantine Quarantined;                              // Requests that crash targets.
+    SilentEnds Unanswered;                            // Attempts that ended without an answer: a crash of their target may be detected later.
     std::function<void()> OnTargetEnd;            // Called when this instance itself has changed the quarantine; may be empty.
     std::map<std::string, ServiceState> Services; // By name. Never erased: requests keep pointers to them.
     RowMetrics Unrouted;                          // Metrics of requests that were assigned to no service.
@@ -100,7 +100,7 @@
     CustomersMetrics ByCustomer;                  // Metrics of customers with a quota.
     std::map<std::string, RouteSplit> Splits;     // By route name.
     std::map<std::string, RouteWork> Work;        // By route name.
-    bool Leaving = false;                         // This instance is draining: callers' connections are closed after the answer.
+    bool Draining = false;                         // This instance is draining: callers' connections are closed after the answer.
     int InProgress = 0;                           // Requests not answered yet.
     std::string IdPrefix;                         // Prefix of ids for requests that come without one.
     uint64_t LastId = 0;                          // Number of the last generated id.
--- a/gateway/gateway.cpp
+++ b/gateway/gateway.cpp
@@ -52,7 +52,7 @@
 {
     if (!gateway->Requests.Directory.InTrouble)
     {
-        Log(LogLevel_Warn, Code_PlatformUnreachable, "store lost", {{"detail", why}, {"revision", gateway->Store.Following.At}});
+        Log(LogLevel_Warn, Code_PlatformUnreachable, "store lost", {{"detail", why}, {"revision", gateway->Store.Following.Revision}});
     }
     DirectoryTrouble(&gateway->Requests.Directory, NowUs());
     RelaySetLost(&gateway->Peers, NowUs() - tried);
@@ -64,7 +64,7 @@
     if (gateway->Requests.Directory.InTrouble)
     {
         Log(LogLevel_Info, Code_None, "store regained",
-            {{"revision", gateway->Store.Following.At}, {"origin", gateway->Store.Following.Origin}});
+            {{"revision", gateway->Store.Following.Revision}, {"origin", gateway->Store.Following.Origin}});
     }
     DirectoryAnswered(&gateway->Requests.Directory, NowUs());
     RelaySetFound(&gateway->Peers);
@@ -141,14 +141,14 @@
 
 static void StartCrashExchange(Gateway* gateway)
 {
-    TargetEnds& crashes = gateway->Ends;
+    TargetEnds& crashes = gateway->Crashes;
     crashes.Loop = gateway->Loop;
     crashes.Calls = &gateway->Control;
-    crashes.Known = &gateway->Requests.Held;
-    crashes.Others = [gateway]()
+    crashes.Known = &gateway->Requests.Quarantined;
+    crashes.Peers = [gateway]()
     {
         const Follow& following = gateway->Store.Following;
-        return ReadsStore(*gateway) ? following.Contacts : std::vector<std::string>{following.Next.Address};
+        return ReadsStore(*gateway) ? following.OtherSeeds : std::vector<std::string>{following.Next.Address};
     };
     crashes.OnTell = [gateway]()
     {
@@ -210,7 +210,7 @@
     limits->Config = TargetQuotaConfig();
     const auto wanted = [limits]()
     {
-        return !limits->Named.empty();
+        return !limits->Limits.empty();
     };
     const auto decide = [limits](TimeUs now)
     {
@@ -227,7 +227,7 @@
     link.Channels[QuotaSubject_Targets] = TargetsChannel(gateway);
     for (QuotaChannel& channel : link.Channels)
     {
-        channel.Known->StartedUs = gateway->StartedUs;
+        channel.State->StartedUs = gateway->StartedUs;
     }
     link.Own = gateway->Config.PeerAddress;
     link.Port = gateway->Config.DatagramPort;
@@ -235,9 +235,9 @@
     {
         return SourceInstance(*gateway);
     };
-    link.Contacts = [gateway]()
+    link.Seeds = [gateway]()
     {
-        return gateway->Store.Following.Contacts;
+        return gateway->Store.Following.OtherSeeds;
     };
     link.Followers = [gateway]()
     {
@@ -262,11 +262,11 @@
 static void Lift(Gateway* gateway, const ExchangePtr& exchange)
 {
     const std::string key = QueryValue(exchange->Target, "request");
-    const bool lifted = QuarantineAnswered(&gateway->Requests.Held, key);
+    const bool lifted = QuarantineAnswered(&gateway->Requests.Quarantined, key);
     Log(LogLevel_Warn, Code_None, "request lifted", {{"request", key}, {"wasHeld", lifted ? 1 : 0}});
     if (lifted)
     {
-        TargetEndsChanged(&gateway->Ends);
+        TargetEndsChanged(&gateway->Crashes);
     }
     Reply(exchange, CallerReply{200, {{"Content-Type", "text/plain"}}, lifted ? LiftedText : NotHeldText, false});
 }
@@ -289,7 +289,7 @@
 static Result<void> StartPages(Gateway* gateway)
 {
     ListenerConfig config;
-    config.ConnectionsMost = 64;
+    config.ConnectionsMax = 64;
     config.Address = gateway->Config.ReadyAddress;
     Result<void> ready = ListenerStart(&gateway->Readiness, gateway->Loop, config,
                                        [gateway](const ExchangePtr& exchange) {
@@ -347,7 +347,7 @@
         return;
     }
     gateway->StopUs = NowUs();
-    gateway->Requests.Leaving = true;
+    gateway->Requests.Draining = true;
     Log(LogLevel_Info, Code_None, "stopping", {{"inProgress", gateway->Requests.InProgress}});
     const TimeUs serve_on = std::min(KeepAcceptingUs, gateway->Config.GraceUs - StopMarginUs);
     gateway->StopTimer = TimerStart(gateway->Loop, serve_on, [gateway]() { StopAccepting(gateway); });
@@ -363,15 +363,15 @@
     gateway->Config.Peers = settings.Peers;
     gateway->Config.StoreAddress = settings.StoreAddress;
     SetSources(gateway);
-    gateway->Requests.Config.RepeatShare = settings.RepeatShare;
-    gateway->Requests.Config.RepeatWindowUs = settings.RepeatWindowUs;
-    gateway->Requests.Held.Config.EndsMost = settings.EndsMost;
-    gateway->Requests.Held.Config.HoldUs = settings.HoldUs;
+    gateway->Requests.Config.RetryShare = settings.RetryShare;
+    gateway->Requests.Config.RetryWindowUs = settings.RetryWindowUs;
+    gateway->Requests.Quarantined.Config.CrashThreshold = settings.CrashesMax;
+    gateway->Requests.Quarantined.Config.QuarantineUs = settings.QuarantineUs;
     gateway->Requests.Quotas.Config.WindowUs = settings.QuotaWindowUs;
     gateway->Requests.Quotas.Config.Overage = settings.QuotaOverage;
     gateway->Requests.Quotas.Config.Slack = settings.QuotaSlack;
-    gateway->Requests.Quotas.Decides = gateway->Store.Following.Reads;
-    gateway->Requests.TargetLimits.Decides = gateway->Store.Following.Reads;
+    gateway->Requests.Quotas.IsSeed = gateway->Store.Following.Reads;
+    gateway->Requests.TargetLimits.IsSeed = gateway->Store.Following.Reads;
     gateway->Requests.DataCentre = settings.DataCentre;
     SetLogLevel(settings.Level);
     ForwarderFollow(&gateway->Requests);
@@ -413,11 +413,11 @@
 static void Tick(Gateway* gateway)
 {
     CheckSettingsFile(gateway);
-    QuarantineForget(&gateway->Requests.Held, NowUs());
-    SilentForget(&gateway->Requests.Silent, NowUs());
+    QuarantineForget(&gateway->Requests.Quarantined, NowUs());
+    SilentForget(&gateway->Requests.Unanswered, NowUs());
     if (ReadsStore(*gateway))
     {
-        TargetEndsCompare(&gateway->Ends);
+        TargetEndsCompare(&gateway->Crashes);
     }
     gateway->TickTimer = TimerStart(gateway->Loop, TickUs, [gateway]() { Tick(gateway); });
 }
@@ -451,7 +451,7 @@
     ApplySettings(gateway, settings);
     ListenerConfig callers;
     callers.Address = settings.CallerAddress;
-    callers.ConnectionsMost = settings.ConnectionsMost;
+    callers.ConnectionsMax = settings.ConnectionsMax;
     callers.MayOverlap = [&requests](const Exchange& exchange)
     {
         return ForwardMayOverlap(requests, exchange);
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -34,8 +34,8 @@
 struct StoreBatch
 {
     std::vector<StoreItem> Items;
-    uint64_t At = 0;         // Revision.
-    bool Everything = false; // Items is a full snapshot; otherwise it holds the changes.
+    uint64_t Revision = 0;         // Revision.
+    bool IsSnapshot = false; // Items is a full snapshot; otherwise it holds the changes.
 };
 
 struct Gateway
@@ -51,16 +51,16 @@
     StoreReader Store;
     Relay Peers;
     Forwarder Requests;
-    TargetEnds Ends;  // Exchange with other instances about requests that crash targets.
+    TargetEnds Crashes;  // Exchange with other instances about requests that crash targets.
     QuotaLink Quotas; // Exchange with other instances about quotas of customers and limits of targets.
     Listener Callers;
     Listener Readiness;
     Listener Metrics;
     std::vector<SignalWatch> Signals;
     Timer TickTimer;                            // Next periodic work, such as the check of the settings file.
-    std::vector<StoreBatch> Unread;             // Batches sent to followers and not applied here yet, in order.
-    Timer Reading;                              // Applies the batches in Unread.
-    Timer Forgetting;                           // Removes the next missing target whose retention is over.
+    std::vector<StoreBatch> PendingBatches;             // Batches sent to followers and not applied here yet, in order.
+    Timer ApplyTimer;                              // Applies the batches in Unread.
+    Timer ForgetTimer;                           // Removes the next missing target whose retention is over.
     Timer StopTimer;                            // Next step of a planned stop.
     TimeUs StartedUs = 0;                       // Time of GatewayStart().
     TimeUs PlanUs = 0;                          // Time when the current plan was applied; 0 if there is none.
--- a/gateway/held.cpp
+++ b/gateway/held.cpp
@@ -28,7 +28,7 @@
 
 static TimeUs QuarantinedUntil(Call* call)
 {
-    const Quarantine& held = call->Owner->Held;
+    const Quarantine& held = call->Owner->Quarantined;
     return held.Requests.empty() ? 0 : QuarantineUntil(held, CallKey(call), NowUs());
 }
 
@@ -50,18 +50,18 @@
 static void RecordCrash(Forwarder* forwarder, const std::string& request, const std::string& target)
 {
     const TimeUs now = NowUs();
-    const bool was_quarantined = QuarantineUntil(forwarder->Held, request, now) > 0;
-    if (!QuarantineNote(&forwarder->Held, request, target, now))
+    const bool was_quarantined = QuarantineUntil(forwarder->Quarantined, request, now) > 0;
+    if (!QuarantineNote(&forwarder->Quarantined, request, target, now))
     {
         return;
     }
-    const TimeUs until = QuarantineUntil(forwarder->Held, request, now);
+    const TimeUs until = QuarantineUntil(forwarder->Quarantined, request, now);
     const bool newly_quarantined = !was_quarantined && until > 0;
     Log(newly_quarantined ? LogLevel_Warn : LogLevel_Info, newly_quarantined ? Code_RequestHeld : Code_None,
         newly_quarantined ? "request held" : "target ended",
         {{"request", request},
          {"target", target},
-         {"ends", QuarantineEnds(forwarder->Held, request)},
+         {"ends", QuarantineEnds(forwarder->Quarantined, request)},
          {"heldForUs", until > 0 ? until - now : 0}});
     if (forwarder->OnTargetEnd)
     {
@@ -111,7 +111,7 @@
     {
         if (HasCrashed(*forwarder, attempt.Target, answer))
         {
-            RecordCrash(forwarder, key, TargetLife(attempt.Target, attempt.Life));
+            RecordCrash(forwarder, key, TargetLife(attempt.Target, attempt.Incarnation));
         }
     };
     ClientSend(forwarder->Targets, std::move(request), on_checked);
@@ -120,7 +120,7 @@
 // Whether a recent load report shows that the target was alive when the request was sent. Otherwise it may have crashed before.
 static bool WasAliveWhenSent(const Forwarder& forwarder, const Attempt& attempt)
 {
-    return attempt.ReportUs > 0 && attempt.SentUs - attempt.ReportUs <= forwarder.Config.ReuseUs;
+    return attempt.ReportUs > 0 && attempt.SentUs - attempt.ReportUs <= forwarder.Config.ReportReuseUs;
 }
 
 void RecordUnanswered(Call* call, const Attempt& attempt)
@@ -130,8 +130,8 @@
     {
         return;
     }
-    const SilentAttempt silent = {CallKey(call), TargetLife(attempt.Target, attempt.Life), attempt.SentUs};
-    if (SilentAttemptEnded(&forwarder->Silent, silent, NowUs()))
+    const SilentAttempt silent = {CallKey(call), TargetLife(attempt.Target, attempt.Incarnation), attempt.SentUs};
+    if (SilentAttemptEnded(&forwarder->Unanswered, silent, NowUs()))
     {
         RecordCrash(forwarder, silent.Request, silent.Target);
     }
@@ -141,7 +141,7 @@
 {
     for (const std::string& target : DirectoryTakeEnded(&forwarder->Directory))
     {
-        for (const SilentAttempt& attempt : SilentTargetEnded(&forwarder->Silent, target, NowUs()))
+        for (const SilentAttempt& attempt : SilentTargetEnded(&forwarder->Unanswered, target, NowUs()))
         {
             RecordCrash(forwarder, attempt.Request, attempt.Target);
         }
@@ -151,11 +151,11 @@
 void NoteAnswered(Call* call)
 {
     Forwarder* forwarder = call->Owner;
-    if (!forwarder->Silent.Attempts.empty())
+    if (!forwarder->Unanswered.Attempts.empty())
     {
-        SilentAnswered(&forwarder->Silent, CallKey(call));
+        SilentAnswered(&forwarder->Unanswered, CallKey(call));
     }
-    if (forwarder->Held.Requests.empty() || !QuarantineAnswered(&forwarder->Held, CallKey(call)))
+    if (forwarder->Quarantined.Requests.empty() || !QuarantineAnswered(&forwarder->Quarantined, CallKey(call)))
     {
         return;
     }
--- a/gateway/listener.cpp
+++ b/gateway/listener.cpp
@@ -44,7 +44,7 @@
 // Serves an accepted connection, or closes it if there are too many.
 static void OnAccepted(Listener* listener, int socket)
 {
-    if (listener->Open.size() >= static_cast<size_t>(listener->Config.ConnectionsMost))
+    if (listener->Open.size() >= static_cast<size_t>(listener->Config.ConnectionsMax))
     {
         LogSample(LogLevel_Warn, Code_None, "connection closed unread", {{"open", static_cast<int>(listener->Open.size())}});
         close(socket);
--- a/gateway/pages.cpp
+++ b/gateway/pages.cpp
@@ -35,15 +35,15 @@
 {
     std::string text = FormatLatency("winchlink_request_seconds", fmt::format("service=\"{}\"", name), service.Metrics.Latency);
     text += EndedText(name, service.Metrics);
-    text += fmt::format("winchlink_repeats{{service=\"{}\"}} {}\n", name, service.Metrics.Repeats);
+    text += fmt::format("winchlink_repeats{{service=\"{}\"}} {}\n", name, service.Metrics.Retries);
     text += fmt::format("winchlink_repeats_refused{{service=\"{}\"}} {}\n", name, service.Metrics.RepeatsRefused);
     const SignalCounters& signals = service.Signals;
     text += fmt::format("winchlink_target_signals{{service=\"{}\",signal=\"limit\"}} {}\n", name, signals.Limits);
     text += fmt::format("winchlink_target_signals{{service=\"{}\",signal=\"backoff\"}} {}\n", name, signals.Backoffs);
-    text += fmt::format("winchlink_target_signals{{service=\"{}\",signal=\"leaving\"}} {}\n", name, signals.Leaving);
-    text += fmt::format("winchlink_target_signals{{service=\"{}\",signal=\"unreadable\"}} {}\n", name, signals.Unreadable);
+    text += fmt::format("winchlink_target_signals{{service=\"{}\",signal=\"leaving\"}} {}\n", name, signals.Draining);
+    text += fmt::format("winchlink_target_signals{{service=\"{}\",signal=\"unreadable\"}} {}\n", name, signals.Invalid);
     text += fmt::format("winchlink_passed_over_for_limit{{service=\"{}\"}} {}\n", name, signals.OverLimit);
-    text += fmt::format("winchlink_question_limit_us{{service=\"{}\"}} {}\n", name, AskTimeNow(service.Asks));
+    text += fmt::format("winchlink_question_limit_us{{service=\"{}\"}} {}\n", name, AskTimeNow(service.ProbeTimeout));
     text += fmt::format("winchlink_nearly_full_factor{{service=\"{}\"}} {:.3f}\n", name, service.Pool.NearlyFullFactor);
     return text;
 }
@@ -72,7 +72,7 @@
 
 static int64_t CountLimited(const Quota& limits)
 {
-    return std::count_if(limits.Named.begin(), limits.Named.end(), [](const auto& named) { return named.second.InForce; });
+    return std::count_if(limits.Limits.begin(), limits.Limits.end(), [](const auto& named) { return named.second.InForce; });
 }
 
 static std::string QuotasText(const Gateway& gateway)
@@ -128,9 +128,9 @@
     text += fmt::format("winchlink_items_invalid {}\n", gateway.Invalid.size());
     text += fmt::format("winchlink_items_invalid_seen {}\n", gateway.InvalidSeen);
     text += EvacuationsText(requests.Directory);
-    text += fmt::format("winchlink_requests_held {}\n", CountHeld(requests.Held));
-    text += fmt::format("winchlink_requests_suspected {}\n", requests.Held.Requests.size());
-    text += fmt::format("winchlink_target_ends_calls {}\n", gateway.Ends.CallsMade);
+    text += fmt::format("winchlink_requests_held {}\n", CountHeld(requests.Quarantined));
+    text += fmt::format("winchlink_requests_suspected {}\n", requests.Quarantined.Requests.size());
+    text += fmt::format("winchlink_target_ends_calls {}\n", gateway.Crashes.CallsMade);
     text += QuotasText(gateway);
     text += fmt::format("winchlink_followers_answered {}\n", gateway.Peers.Answers);
     text += fmt::format("winchlink_plan_version {}\n", requests.Plan ? requests.Plan->Version : 0);
@@ -157,11 +157,11 @@
     {
         return fmt::format("avoided after {} failures", target.FailuresInRow);
     }
-    if (target.Doubtful)
+    if (target.EntryMissing)
     {
         return "its entry has vanished: last choice";
     }
-    if (now < target.WarmUntilUs)
+    if (now < target.ColdUntilUs)
     {
         return PoolColdState(pool, target, now) == PoolCold_None ? "cold: slow" : "cold: last choice";
     }
@@ -175,7 +175,7 @@
 static json_t* JsonOfTarget(const Quota& limits, const TargetPool& pool, const PoolTarget& target, TimeUs now)
 {
     json_t* object = json_object();
-    const TargetLimit* limit = QuotaNamed(limits, target.LifeId);
+    const TargetLimit* limit = QuotaNamed(limits, target.IncarnationId);
     json_object_set_new(object, "id", JsonText(target.Id));
     json_object_set_new(object, "address", JsonText(target.Address));
     json_object_set_new(object, "near", json_boolean(target.Near));
@@ -184,7 +184,7 @@
     json_object_set_new(object, "running", json_integer(target.Report.Running));
     json_object_set_new(object, "slots", json_integer(target.Slots));
     json_object_set_new(object, "limitPerS", limit != nullptr ? json_real(limit->PerS) : json_null());
-    json_object_set_new(object, "limitAgeMs", limit != nullptr ? JsonMs(now - limit->HeardUs) : json_null());
+    json_object_set_new(object, "limitAgeMs", limit != nullptr ? JsonMs(now - limit->ReceivedUs) : json_null());
     json_object_set_new(object, "pacePercent", json_integer(target.Report.PacePercent));
     json_object_set_new(object, "reportAgeMs", target.ReportUs > 0 ? JsonMs(now - target.ReportUs) : json_null());
     return object;
@@ -207,7 +207,7 @@
     json_object_set_new(object, "inProgress", json_integer(service.InProgress));
     json_object_set_new(object, "p50Ms", json_real(LatencyQuantile(service.Metrics.Latency.Histogram, 0.5) * 1000));
     json_object_set_new(object, "p99Ms", json_real(LatencyQuantile(service.Metrics.Latency.Histogram, 0.99) * 1000));
-    json_object_set_new(object, "repeats", JsonNumber(service.Metrics.Repeats));
+    json_object_set_new(object, "repeats", JsonNumber(service.Metrics.Retries));
     json_object_set_new(object, "ended", ended);
     json_object_set_new(object, "evacuatedTargets", json_integer(service.Pool.Evacuated));
     json_object_set_new(object, "targets", targets);
@@ -250,12 +250,12 @@
     json_object_set_new(object, "source", JsonText(following.Next.Address));
     json_object_set_new(object, "isStore", json_boolean(following.Next.Kind == SourceKind_Store));
     json_object_set_new(object, "readBy", JsonText(following.Origin));
-    json_object_set_new(object, "revision", JsonNumber(following.At));
+    json_object_set_new(object, "revision", JsonNumber(following.Revision));
     json_object_set_new(object, "ageMs", following.FreshUs > 0 ? JsonMs(now - following.FreshUs) : json_null());
     json_object_set_new(object, "lost", json_boolean(gateway.Requests.Directory.InTrouble));
     json_object_set_new(object, "calls", JsonNumber(StoreCalls(store)));
     json_object_set_new(object, "failures", JsonNumber(store.CallsFailed));
-    json_object_set_new(object, "followers", JsonNumber(gateway.Peers.Waits.size()));
+    json_object_set_new(object, "followers", JsonNumber(gateway.Peers.HeldRequests.size()));
     return object;
 }
 
@@ -315,16 +315,16 @@
     json_t* list = json_array();
     for (const auto& [key, request] : quarantine.Requests)
     {
-        if (now < request.HeldUntilUs)
+        if (now < request.QuarantinedUntilUs)
         {
             json_t* targets = json_array();
-            for (const auto& end : request.Ends)
+            for (const auto& end : request.Crashes)
             {
                 json_array_append_new(targets, JsonText(end.first));
             }
             json_t* object = json_object();
             json_object_set_new(object, "request", JsonText(key));
-            json_object_set_new(object, "leftMs", JsonMs(request.HeldUntilUs - now));
+            json_object_set_new(object, "leftMs", JsonMs(request.QuarantinedUntilUs - now));
             json_object_set_new(object, "ends", json_integer(QuarantineEnds(quarantine, key)));
             json_object_set_new(object, "targets", targets);
             json_array_append_new(list, object);
@@ -348,7 +348,7 @@
     json_object_set_new(object, "customers", JsonOfCustomers(gateway));
     json_object_set_new(object, "evacuated", JsonOfEvacuations(gateway.Requests.Directory));
     json_object_set_new(object, "invalid", JsonOfInvalid(gateway));
-    json_object_set_new(object, "held", JsonOfHeld(gateway.Requests.Held, now));
+    json_object_set_new(object, "held", JsonOfHeld(gateway.Requests.Quarantined, now));
     json_object_set_new(object, "services", services);
     return DumpJson(object, JSON_INDENT(1));
 }
--- a/gateway/quota_link.cpp
+++ b/gateway/quota_link.cpp
@@ -39,16 +39,16 @@
 
 template <class Archive> void serialize(Archive& archive, QuotaReportEntry& entry)
 {
-    archive(entry.Customer);
+    archive(entry.Id);
     SerializeCount(archive, entry.Count.Admitted);
-    SerializeCount(archive, entry.Count.Leaving);
+    SerializeCount(archive, entry.Count.Expiring);
     SerializeCount(archive, entry.Count.Wanted);
     SerializeCount(archive, entry.Count.RecentWanted);
 }
 
 template <class Archive> void serialize(Archive& archive, QuotaShare& share)
 {
-    archive(share.Customer);
+    archive(share.Id);
     SerializeCount(archive, share.Share);
 }
 
@@ -67,17 +67,17 @@
 
 template <class Archive> void serialize(Archive& archive, QuotaReport& report)
 {
-    archive(report.Most);
+    archive(report.FleetSize);
     SerializeCount(archive, report.Members);
     SerializeCount(archive, report.Covered);
-    archive(report.Entries, report.Named);
+    archive(report.Entries, report.Limits);
 }
 
 template <class Archive> void serialize(Archive& archive, QuotaAnswer& answer)
 {
-    archive(answer.Most);
+    archive(answer.FleetSize);
     SerializeCount(archive, answer.Covered);
-    archive(answer.Shares, answer.Named);
+    archive(answer.Shares, answer.Limits);
 }
 
 std::string EncodeQuota(const QuotaMessage& message)
@@ -143,7 +143,7 @@
 
 static void SendReports(QuotaLink* link, QuotaSubject_ subject, const std::string& address, QuotaMessage_ kind)
 {
-    for (const QuotaReport& report : QuotaReports(*ChannelOf(link, subject).Known, NowUs()))
+    for (const QuotaReport& report : QuotaReports(*ChannelOf(link, subject).State, NowUs()))
     {
         Send(link, address, {kind, subject, report, {}});
     }
@@ -151,7 +151,7 @@
 
 static void SendAnswers(QuotaLink* link, QuotaSubject_ subject, const std::string& address)
 {
-    for (const QuotaAnswer& answer : QuotaAnswers(*ChannelOf(link, subject).Known, NowUs()))
+    for (const QuotaAnswer& answer : QuotaAnswers(*ChannelOf(link, subject).State, NowUs()))
     {
         Send(link, address, {QuotaMessage_Answer, subject, {}, answer});
     }
@@ -159,7 +159,7 @@
 
 static void AnswerReporters(QuotaLink* link, QuotaSubject_ subject)
 {
-    for (const auto& entry : ChannelOf(link, subject).Known->Followers)
+    for (const auto& entry : ChannelOf(link, subject).State->Followers)
     {
         SendAnswers(link, subject, entry.first);
     }
@@ -180,7 +180,7 @@
 // Sends the decision to followers that don't report: they may not know of a limit yet.
 static void AnswerOtherFollowers(QuotaLink* link, QuotaSubject_ subject)
 {
-    const auto& reporters = ChannelOf(link, subject).Known->Followers;
+    const auto& reporters = ChannelOf(link, subject).State->Followers;
     for (const std::string& follower : link->Followers())
     {
         if (reporters.count(DatagramAddress(*link, follower)) == 0)
@@ -208,20 +208,20 @@
 static void Report(QuotaLink* link, QuotaSubject_ subject)
 {
     QuotaChannel& channel = ChannelOf(link, subject);
-    if (!channel.Wanted())
+    if (!channel.IsNeeded())
     {
         channel.Reporting = nullptr; // The last limit has expired.
         return;
     }
-    channel.Reporting = TimerStart(link->Loop, QuotaReportIn(*channel.Known), [link, subject]() { Report(link, subject); });
+    channel.Reporting = TimerStart(link->Loop, QuotaReportIn(*channel.State), [link, subject]() { Report(link, subject); });
     Decide(link, subject);
     AnswerOtherFollowers(link, subject);
-    if (!channel.Known->Decides)
+    if (!channel.State->IsSeed)
     {
         ReportToSource(link, subject);
         return;
     }
-    for (const std::string& seed : link->Contacts())
+    for (const std::string& seed : link->Seeds())
     {
         SendReports(link, subject, seed, QuotaMessage_SeedReport);
     }
@@ -235,7 +235,7 @@
 {
     const TimeUs now = NowUs();
     const QuotaSubject_ subject = message.Subject;
-    Quota* known = ChannelOf(link, subject).Known;
+    Quota* known = ChannelOf(link, subject).State;
     if (message.Kind == QuotaMessage_Answer)
     {
         if (QuotaHeardAnswer(known, message.Answer, now))
@@ -320,7 +320,7 @@
     for (const QuotaSubject_ subject : {QuotaSubject_Customers, QuotaSubject_Targets})
     {
         QuotaChannel& channel = ChannelOf(link, subject);
-        const bool wanted = channel.Wanted();
+        const bool wanted = channel.IsNeeded();
         if (!wanted)
         {
             channel.Reporting = nullptr;
--- a/gateway/quota_link.h
+++ b/gateway/quota_link.h
@@ -27,8 +27,8 @@
 
 struct QuotaChannel
 {
-    Quota* Known = nullptr;
-    std::function<bool()> Wanted;           // Whether there is any quota or limit, so that reports are needed.
+    Quota* State = nullptr;
+    std::function<bool()> IsNeeded;           // Whether there is any quota or limit, so that reports are needed.
     std::function<bool(TimeUs now)> Decide; // Calls QuotaDecide() or QuotaDecideNamed().
     Timer Reporting;
 };
@@ -40,7 +40,7 @@
     std::string Own;                                     // IP:port at which other instances reach this one; empty: there are no others.
     int Port = 0;                                        // For datagrams; 0: the exchange is off.
     std::function<std::string()> Source;                 // Address of the instance's source; empty if unknown.
-    std::function<std::vector<std::string>()> Contacts;  // Addresses of the other seeds.
+    std::function<std::vector<std::string>()> Seeds;  // Addresses of the other seeds.
     std::function<std::vector<std::string>()> Followers; // Addresses of all followers, including those that don't report.
     int Socket = -1;
     Watch Readable;
--- a/gateway/relay.cpp
+++ b/gateway/relay.cpp
@@ -132,13 +132,13 @@
 
 static std::string QueryFlags(const FollowStep& step)
 {
-    return std::string(step.Lead ? "&lead=1" : "") + (step.Lost ? "&lost=1" : "");
+    return std::string(step.AskStore ? "&lead=1" : "") + (step.StoreLost ? "&lost=1" : "");
 }
 
 StoreDialect RelayDialect(const RelayFollower& own)
 {
     const std::string who =
-        fmt::format("from={}&dataCentre={}{}", own.Address, PercentEncoded(own.DataCentre), own.Contact ? "&contact=1" : "");
+        fmt::format("from={}&dataCentre={}{}", own.Address, PercentEncoded(own.DataCentre), own.Seed ? "&contact=1" : "");
     StoreDialect dialect;
     dialect.PageTarget = [who](const std::string&)
     {
@@ -148,7 +148,7 @@
     {
         return fmt::format("/changes?after={}&waitMs={}&{}", after, wait / UsPerMs, who);
     };
-    dialect.Remarks = QueryFlags;
+    dialect.QueryFlags = QueryFlags;
     dialect.HistoryGoneStatus = HistoryGoneStatus;
     dialect.ReadPage = DecodePage;
     dialect.ReadChanges = DecodePage;
@@ -162,10 +162,10 @@
 static StorePage MakeHead(const Relay& relay)
 {
     StorePage head;
-    head.At = relay.At;
+    head.Revision = relay.Revision;
     head.AgeUs = relay.Age ? relay.Age() : 0;
-    head.Trouble = relay.Trouble;
-    head.TriedUs = relay.Trouble ? NowUs() - relay.TriedUs : 0;
+    head.StoreLost = relay.StoreLost;
+    head.TriedUs = relay.StoreLost ? NowUs() - relay.TriedUs : 0;
     head.Origin = relay.Origin ? relay.Origin() : "";
     head.EndsDigest = relay.EndsDigest ? relay.EndsDigest() : 0;
     return head;
@@ -196,7 +196,7 @@
 
 static void AnswerFullRead(Relay* relay, const ExchangePtr& call)
 {
-    if (relay->AllAt != relay->At)
+    if (relay->AllAt != relay->Revision)
     {
         std::vector<StoreItem> items;
         for (const auto& entry : relay->Items)
@@ -204,7 +204,7 @@
             items.push_back(entry.second);
         }
         relay->All = PackItems(items);
-        relay->AllAt = relay->At;
+        relay->AllAt = relay->Revision;
     }
     ReplyPage(call, MakeHead(*relay), relay->All);
 }
@@ -212,16 +212,16 @@
 static void AnswerChanges(Relay* relay, const ExchangePtr& call, uint64_t after)
 {
     relay->Answers++;
-    if (after >= relay->At)
+    if (after >= relay->Revision)
     {
         ReplyPage(call, MakeHead(*relay), "");
         return;
     }
-    if (relay->PackedAfter != after || relay->PackedAt != relay->At)
+    if (relay->PackedAfter != after || relay->PackedAt != relay->Revision)
     {
         relay->Packed = PackChanges(*relay, after);
         relay->PackedAfter = after;
-        relay->PackedAt = relay->At;
+        relay->PackedAt = relay->Revision;
     }
     ReplyPage(call, MakeHead(*relay), relay->Packed);
 }
@@ -229,28 +229,28 @@
 // Answers a request with the current data.
 static void Answer(Relay* relay, const RelayWait& wait)
 {
-    if (relay->At == 0)
+    if (relay->Revision == 0)
     {
         ReplyStatus(wait.From, NoDataStatus);
         return;
     }
-    if (wait.Asker.Everything)
+    if (wait.Request.FullRead)
     {
         AnswerFullRead(relay, wait.From);
         return;
     }
-    if (wait.Asker.After < relay->ChangesFrom)
+    if (wait.Request.After < relay->ChangesFrom)
     {
         ReplyStatus(wait.From, HistoryGoneStatus);
         return;
     }
-    AnswerChanges(relay, wait.From, wait.Asker.After);
+    AnswerChanges(relay, wait.From, wait.Request.After);
 }
 
 static void AnswerHeld(Relay* relay, uint64_t id)
 {
-    RelayWait wait = std::move(relay->Waits.at(id));
-    relay->Waits.erase(id);
+    RelayWait wait = std::move(relay->HeldRequests.at(id));
+    relay->HeldRequests.erase(id);
     Answer(relay, wait);
 }
 
@@ -260,9 +260,9 @@
     wait.End = TimerStart(relay->Loop, std::min(most, HoldMaxUs), [relay, id]() { AnswerHeld(relay, id); });
     wait.From->OnGone = [relay, id]()
     {
-        relay->Waits.erase(id);
+        relay->HeldRequests.erase(id);
     };
-    relay->Waits[id] = std::move(wait);
+    relay->HeldRequests[id] = std::move(wait);
 }
 
 static uint64_t QueryNumber(const std::string& target, const std::string& key)
@@ -281,16 +281,16 @@
 static NewsHolder RelayState(const Relay& relay, const NewsAsker& asker)
 {
     NewsHolder holder;
-    holder.At = relay.At;
-    holder.Lost = relay.Trouble;
+    holder.Revision = relay.Revision;
+    holder.StoreLost = relay.StoreLost;
     holder.DataCentre = relay.DataCentre;
-    for (const auto& entry : relay.Waits)
+    for (const auto& entry : relay.HeldRequests)
     {
-        const NewsAsker& follower = entry.second.Asker;
+        const NewsAsker& follower = entry.second.Request;
         holder.Followers.push_back(follower.Address);
         if (follower.DataCentre == asker.DataCentre)
         {
-            holder.Beside.push_back(follower.Address);
+            holder.Nearby.push_back(follower.Address);
         }
     }
     return holder;
@@ -312,19 +312,19 @@
     }
     RelayWait wait;
     wait.From = call;
-    wait.Asker.Address = FollowerAddress(call->Target);
-    wait.Asker.Everything = call->Target.rfind("/items", 0) == 0;
-    wait.Asker.After = QueryNumber(call->Target, "after");
-    wait.Asker.Lead = relay->OnLead && QueryNumber(call->Target, "lead") != 0;
-    wait.Asker.Lost = QueryNumber(call->Target, "lost") != 0;
-    if (!wait.Asker.Address.empty() && relay->OnMet)
+    wait.Request.Address = FollowerAddress(call->Target);
+    wait.Request.FullRead = call->Target.rfind("/items", 0) == 0;
+    wait.Request.After = QueryNumber(call->Target, "after");
+    wait.Request.AskStore = relay->OnLead && QueryNumber(call->Target, "lead") != 0;
+    wait.Request.StoreLost = QueryNumber(call->Target, "lost") != 0;
+    if (!wait.Request.Address.empty() && relay->OnMet)
     {
-        relay->OnMet(wait.Asker.Address);
+        relay->OnMet(wait.Request.Address);
     }
-    wait.Asker.DataCentre = QueryValue(call->Target, "dataCentre");
-    wait.Asker.Contact = QueryNumber(call->Target, "contact") != 0;
-    const NewsAnswer answer = FanoutAsked(&relay->Spread, wait.Asker, RelayState(*relay, wait.Asker), NowUs(), relay->Rng);
-    switch (answer.Verdict)
+    wait.Request.DataCentre = QueryValue(call->Target, "dataCentre");
+    wait.Request.Seed = QueryNumber(call->Target, "contact") != 0;
+    const NewsAnswer answer = FanoutAsked(&relay->FollowerLimits, wait.Request, RelayState(*relay, wait.Request), NowUs(), relay->Rng);
+    switch (answer.Action)
     {
     case NewsVerdict_SendOn:
         Redirect(*relay, call, answer.Elsewhere);
@@ -349,11 +349,11 @@
 std::vector<std::string> RelayFollowers(const Relay& relay)
 {
     std::vector<std::string> followers;
-    for (const auto& entry : relay.Waits)
+    for (const auto& entry : relay.HeldRequests)
     {
-        if (!entry.second.Asker.Address.empty())
+        if (!entry.second.Request.Address.empty())
         {
-            followers.push_back(entry.second.Asker.Address);
+            followers.push_back(entry.second.Request.Address);
         }
     }
     return followers;
@@ -363,7 +363,7 @@
 static void AnswerHeldIf(Relay* relay, const std::function<bool(const RelayWait&)>& ends)
 {
     std::vector<uint64_t> ending;
-    for (const auto& entry : relay->Waits)
+    for (const auto& entry : relay->HeldRequests)
     {
         if (ends(entry.second))
         {
@@ -372,7 +372,7 @@
     }
     for (const uint64_t id : ending)
     {
-        if (relay->Waits.count(id) > 0)
+        if (relay->HeldRequests.count(id) > 0)
         {
             AnswerHeld(relay, id);
         }
@@ -390,7 +390,7 @@
 {
     relay->ToldUs = NowUs();
     relay->ToldFreshUs = DataTimeUs(*relay);
-    AnswerHeldIf(relay, [relay](const RelayWait& wait) { return !wait.Asker.Lead && (!wait.Asker.Everything || relay->At != 0); });
+    AnswerHeldIf(relay, [relay](const RelayWait& wait) { return !wait.Request.AskStore && (!wait.Request.FullRead || relay->Revision != 0); });
 }
 
 // Changes between the current items and a full read at a later revision.
@@ -424,7 +424,7 @@
 
 void RelaySetAll(Relay* relay, const StorePage& all, uint64_t at)
 {
-    if (relay->At != 0 && at >= relay->At)
+    if (relay->Revision != 0 && at >= relay->Revision)
     {
         RelayAddChanges(relay, ChangesSince(*relay, all.Items, at), at); // Spares the followers a full read.
         return;
@@ -434,7 +434,7 @@
     {
         relay->Items[item.Key] = item;
     }
-    relay->At = at;
+    relay->Revision = at;
     relay->Changes.clear();
     relay->ChangesFrom = at;
     relay->All = all.Packed;
@@ -461,18 +461,18 @@
         relay->ChangesFrom = std::max(relay->ChangesFrom, relay->Changes.front().Revision);
         relay->Changes.pop_front();
     }
-    relay->At = at;
+    relay->Revision = at;
     AnswerFollowers(relay);
 }
 
 void RelaySetLost(Relay* relay, TimeUs tried)
 {
-    const bool before = relay->Trouble;
-    relay->Trouble = true;
+    const bool before = relay->StoreLost;
+    relay->StoreLost = true;
     relay->TriedUs = std::max(relay->TriedUs, tried);
-    if (relay->At == 0)
+    if (relay->Revision == 0)
     {
-        AnswerHeldIf(relay, [](const RelayWait& wait) { return wait.Asker.Everything && wait.Asker.Lost && !wait.Asker.Lead; });
+        AnswerHeldIf(relay, [](const RelayWait& wait) { return wait.Request.FullRead && wait.Request.StoreLost && !wait.Request.AskStore; });
         return;
     }
     if (!before || NowUs() >= relay->ToldUs + relay->Config.BeatUs)
@@ -483,9 +483,9 @@
 
 void RelaySetFound(Relay* relay)
 {
-    if (relay->Trouble)
+    if (relay->StoreLost)
     {
-        relay->Trouble = false;
+        relay->StoreLost = false;
         AnswerFollowers(relay);
     }
 }
@@ -505,7 +505,7 @@
 
 void RelayAnswerLeads(Relay* relay)
 {
-    AnswerHeldIf(relay, [](const RelayWait& wait) { return wait.Asker.Lead; });
+    AnswerHeldIf(relay, [](const RelayWait& wait) { return wait.Request.AskStore; });
 }
 
 //-----------------------------------------------------------------------------
--- a/gateway/relay.h
+++ b/gateway/relay.h
@@ -34,14 +34,14 @@
 struct RelayWait
 {
     ExchangePtr From;
-    NewsAsker Asker;
+    NewsAsker Request;
     Timer End;
 };
 
 struct Relay
 {
     RelayConfig Config;
-    Fanout Spread;          // Limits the followers served here.
+    Fanout FollowerLimits;          // Limits the followers served here.
     std::string DataCentre; // Of this instance.
     EventLoop* Loop = nullptr;
     Random* Rng = nullptr;
@@ -49,18 +49,18 @@
     std::map<std::string, StoreItem> Items;                // By key.
     std::deque<StoreItem> Changes;                         // Latest changes, oldest first.
     uint64_t ChangesFrom = 0;                              // Changes is complete above this revision.
-    uint64_t At = 0;                                       // Store revision of Items; 0: no data.
+    uint64_t Revision = 0;                                       // Store revision of Items; 0: no data.
     std::function<TimeUs()> Age;                           // Time since Items was known to be current; empty: 0.
     std::function<void()> OnLead;                          // A follower wants this instance to ask the store; may be empty.
     std::function<void(const std::string&)> OnMet;         // Gets the address of each requester that can be followed; may be empty.
     std::function<std::string()> Origin;                   // Returns the instance that reads the store for this one; may be empty.
     std::function<uint64_t()> EndsDigest;                  // Returns the digest of the quarantine; may be empty.
     std::function<std::string(const std::string&)> OnEnds; // Handles a message with target crashes; returns the answer. May be empty.
-    bool Trouble = false;                                  // The store is lost.
+    bool StoreLost = false;                                  // The store is lost.
     TimeUs TriedUs = 0;                                    // If so: time of the last failed attempt to reach it.
     TimeUs ToldUs = 0;                                     // When updates or heartbeats were last sent to all followers.
     TimeUs ToldFreshUs = 0;                                // Time as of which that data was known to be current.
-    std::map<uint64_t, RelayWait> Waits;                   // Held requests, by number.
+    std::map<uint64_t, RelayWait> HeldRequests;                   // Held requests, by number.
     uint64_t LastWait = 0;                                 // Number of the latest one.
     uint64_t PackedAfter = 0;                              // Cached answer: changes after this revision,
     uint64_t PackedAt = 0;                                 // up to this one,
@@ -104,7 +104,7 @@
 {
     std::string Address;    // Where it can be followed; empty if it can't.
     std::string DataCentre; // Where it runs.
-    bool Contact = false;   // It is a seed.
+    bool Seed = false;   // It is a seed.
 };
 
 // Paths and encodings of the calls of a follower.
--- a/gateway/request_reader.cpp
+++ b/gateway/request_reader.cpp
@@ -109,7 +109,7 @@
     {
         return Refuse(reader, Code_BadRequest);
     }
-    if (HeaderBytes(reader->Request) > reader->Limits.HeaderBytesMost)
+    if (HeaderBytes(reader->Request) > reader->Limits.HeaderBytesMax)
     {
         return Refuse(reader, Code_HeadersTooLarge);
     }
@@ -131,8 +131,8 @@
 {
     reader->Parser = std::make_unique<RequestParser>();
     auto& beast = reader->Parser->Beast;
-    beast.header_limit(static_cast<std::uint32_t>(reader->Limits.HeaderBytesMost));
-    beast.body_limit(reader->Limits.BodyBytesMost);
+    beast.header_limit(static_cast<std::uint32_t>(reader->Limits.HeaderBytesMax));
+    beast.body_limit(reader->Limits.BodyBytesMax);
     reader->State = ReadState_Headers;
 }
 
--- a/gateway/settings.cpp
+++ b/gateway/settings.cpp
@@ -74,14 +74,14 @@
     ReadAddress(r, "peerAddress", false, &out->PeerAddress);
     ReadAddress(r, "storeAddress", true, &out->StoreAddress);
     ReadAddresses(r, "peers", &out->Peers);
-    int descriptors = out->ConnectionsMost + DescriptorsReserved;
+    int descriptors = out->ConnectionsMax + DescriptorsReserved;
     ReadIntBetween(r, "descriptorsMost", false, DescriptorsReserved + 1, DescriptorsMax, &descriptors);
-    out->ConnectionsMost = descriptors - DescriptorsReserved;
+    out->ConnectionsMax = descriptors - DescriptorsReserved;
     ReadSeconds(r, "graceS", &out->GraceUs);
-    ReadSeconds(r, "repeatWindowS", &out->RepeatWindowUs);
-    ReadRealBetween(r, "repeatShare", false, 0, 1, &out->RepeatShare);
-    ReadIntBetween(r, "endsMost", false, 1, CrashesMaxLimit, &out->EndsMost);
-    ReadSeconds(r, "holdS", &out->HoldUs);
+    ReadSeconds(r, "repeatWindowS", &out->RetryWindowUs);
+    ReadRealBetween(r, "repeatShare", false, 0, 1, &out->RetryShare);
+    ReadIntBetween(r, "endsMost", false, 1, CrashesMaxLimit, &out->CrashesMax);
+    ReadSeconds(r, "holdS", &out->QuarantineUs);
     ReadIntBetween(r, "datagramPort", false, 0, PortMax, &out->DatagramPort);
     ReadSeconds(r, "quotaWindowS", &out->QuotaWindowUs);
     if (out->QuotaWindowUs < QuotaWindowMinUs)
--- a/gateway/settings.h
+++ b/gateway/settings.h
@@ -20,12 +20,12 @@
     std::string PeerAddress;                  // IP:port for other instances; empty: none.
     std::string StoreAddress;                 // IP:port of the platform's store or of the table service.
     std::vector<std::string> Peers;           // Peer addresses of the seeds; some may be out of date.
-    int ConnectionsMost = 1024;               // Maximum open connections of callers.
+    int ConnectionsMax = 1024;               // Maximum open connections of callers.
     TimeUs GraceUs = 6 * UsPerSecond;         // Time from the stop signal until the process is killed.
-    TimeUs RepeatWindowUs = 10 * UsPerSecond; // Window of the retry budget.
-    double RepeatShare = 0.2;                 // Retries as a share of a service's requests in a window.
-    int EndsMost = 3;                         // A request is quarantined once it has crashed this many targets.
-    TimeUs HoldUs = 600 * UsPerSecond;        // Duration of a request's first quarantine.
+    TimeUs RetryWindowUs = 10 * UsPerSecond; // Window of the retry budget.
+    double RetryShare = 0.2;                 // Retries as a share of a service's requests in a window.
+    int CrashesMax = 3;                         // A request is quarantined once it has crashed this many targets.
+    TimeUs QuarantineUs = 600 * UsPerSecond;        // Duration of a request's first quarantine.
     int DatagramPort = 0;                     // Port for datagrams between instances, on the IP of PeerAddress; the same for all; 0: none.
     TimeUs QuotaWindowUs = 5 * UsPerSecond;   // Window in which customers' requests are counted.
     double QuotaOverage = 0.25;               // Share of its quota by which a customer may exceed it in a window.
--- a/gateway/store_news.cpp
+++ b/gateway/store_news.cpp
@@ -135,10 +135,10 @@
 static void ScheduleExpiry(Gateway* gateway)
 {
     const std::optional<TimeUs> next = DirectoryNextForget(gateway->Requests.Directory);
-    gateway->Forgetting = nullptr;
+    gateway->ForgetTimer = nullptr;
     if (next)
     {
-        gateway->Forgetting = TimerStart(gateway->Loop, *next - NowUs(),
+        gateway->ForgetTimer = TimerStart(gateway->Loop, *next - NowUs(),
                                          [gateway]()
                                          {
                                              DirectoryTick(&gateway->Requests.Directory, NowUs());
@@ -247,21 +247,21 @@
 // Applies the queued batches in order.
 static void ApplyBatches(Gateway* gateway)
 {
-    gateway->Reading = nullptr;
-    const std::vector<StoreBatch> batches = std::move(gateway->Unread);
-    gateway->Unread.clear();
+    gateway->ApplyTimer = nullptr;
+    const std::vector<StoreBatch> batches = std::move(gateway->PendingBatches);
+    gateway->PendingBatches.clear();
     for (const StoreBatch& batch : batches)
     {
-        ApplyItems(gateway, batch.Items, batch.At, batch.Everything);
+        ApplyItems(gateway, batch.Items, batch.Revision, batch.IsSnapshot);
     }
 }
 
 void ReadSoon(Gateway* gateway, StoreBatch batch)
 {
-    gateway->Unread.push_back(std::move(batch));
-    if (!gateway->Reading)
+    gateway->PendingBatches.push_back(std::move(batch));
+    if (!gateway->ApplyTimer)
     {
-        gateway->Reading = TimerStart(gateway->Loop, gateway->Timing.ApplyUs, [gateway]() { ApplyBatches(gateway); });
+        gateway->ApplyTimer = TimerStart(gateway->Loop, gateway->Timing.ApplyUs, [gateway]() { ApplyBatches(gateway); });
     }
 }
 
--- a/gateway/store_reader.cpp
+++ b/gateway/store_reader.cpp
@@ -44,7 +44,7 @@
     reader->Next = TimerStart(reader->Loop, wait,
                               [reader]()
                               {
-                                  const bool all = reader->Following.At == 0 || reader->HistoryGone;
+                                  const bool all = reader->Following.Revision == 0 || reader->HistoryGone;
                                   all ? ReadAll(reader) : PollChanges(reader);
                               });
 }
@@ -65,7 +65,7 @@
     const StoreSource& source = SourceOf(*reader);
     ClientRequest request;
     request.Address = step.Address;
-    request.Target = source.Dialect.Remarks ? target + source.Dialect.Remarks(step) : target;
+    request.Target = source.Dialect.QueryFlags ? target + source.Dialect.QueryFlags(step) : target;
     request.TimeoutUs = timeout;
     request.ConnectUs = source.ConnectUs;
     CountStoreCall(reader);
@@ -87,7 +87,7 @@
         {{"address", reader.Following.Next.Address},
          {"store", AsksStore(reader) ? 1 : 0},
          {"detail", why},
-         {"revision", reader.Following.At}});
+         {"revision", reader.Following.Revision}});
 }
 
 static void OnFailure(StoreReader* reader, const std::string& why, bool late)
@@ -119,9 +119,9 @@
     Log(LogLevel_Info, Code_PlatformUnreachable, "source left",
         {{"address", step.Address},
          {"detail", verdict == FollowVerdict_Ours ? "its data comes from this instance" : "stale or behind"},
-         {"revision", page.At},
+         {"revision", page.Revision},
          {"ageUs", page.AgeUs},
-         {"ours", reader->Following.At}});
+         {"ours", reader->Following.Revision}});
 }
 
 // Applies the answer of a source and selects the next one. The data is applied unless it is behind the known revision, even when it is
@@ -129,27 +129,27 @@
 static void ApplyAnswer(StoreReader* reader, const StorePage& page, bool everything)
 {
     const FollowStep step = reader->Following.Next;
-    const uint64_t before = reader->Following.At;
+    const uint64_t before = reader->Following.Revision;
     for (const Error& nameless : page.Nameless)
     {
         Log(LogLevel_Error, nameless.Code, "item names nothing",
-            {{"address", step.Address}, {"revision", page.At}, {"detail", nameless.Detail}});
+            {{"address", step.Address}, {"revision", page.Revision}, {"detail", nameless.Detail}});
     }
     if (reader->OnEndsDigest && step.Kind != SourceKind_Store)
     {
         reader->OnEndsDigest(page.EndsDigest);
     }
-    const SourceNews news = {page.At, page.AgeUs, page.Trouble, page.TriedUs, page.Origin};
+    const SourceNews news = {page.Revision, page.AgeUs, page.StoreLost, page.TriedUs, page.Origin};
     const FollowVerdict_ verdict = FollowHeard(&reader->Following, news, NowUs(), reader->Rng);
-    const bool changed = !everything && page.At > before && !page.Items.empty();
-    if (everything && page.At >= before)
+    const bool changed = !everything && page.Revision > before && !page.Items.empty();
+    if (everything && page.Revision >= before)
     {
         reader->HistoryGone = false;
-        reader->OnAll(page, page.At);
+        reader->OnAll(page, page.Revision);
     }
     if (changed)
     {
-        reader->OnChanges(page.Items, page.At);
+        reader->OnChanges(page.Items, page.Revision);
     }
     if (verdict == FollowVerdict_Good)
     {
@@ -204,7 +204,7 @@
         return;
     }
     // Pages are not a snapshot: changes are read from the revision of the first page.
-    reader->PagesAt = reader->PagesAt == 0 ? page.At : reader->PagesAt;
+    reader->PagesAt = reader->PagesAt == 0 ? page.Revision : reader->PagesAt;
     const bool single = reader->Pages.empty() && !page.More;
     std::move(page.Items.begin(), page.Items.end(), std::back_inserter(reader->Pages));
     if (page.More && !page.Items.empty())
@@ -214,7 +214,7 @@
     }
     page.Items = std::move(reader->Pages);
     page.Packed = single ? page.Packed : "";
-    page.At = reader->PagesAt;
+    page.Revision = reader->PagesAt;
     reader->Pages.clear();
     ApplyAnswer(reader, page, true);
 }
@@ -269,8 +269,8 @@
 {
     const StoreSource& source = SourceOf(*reader);
     const FollowStep& step = reader->Following.Next;
-    const TimeUs wait = step.WaitMostUs > 0 ? std::min(step.WaitMostUs, source.WaitUs) : source.WaitUs;
-    Call(reader, source.Dialect.ChangesTarget(reader->Following.At, wait), wait + (source.MarginUs << step.MarginDoublings), OnChanges);
+    const TimeUs wait = step.WaitMaxUs > 0 ? std::min(step.WaitMaxUs, source.WaitUs) : source.WaitUs;
+    Call(reader, source.Dialect.ChangesTarget(reader->Following.Revision, wait), wait + (source.MarginUs << step.MarginDoublings), OnChanges);
 }
 
 //-----------------------------------------------------------------------------
--- a/gateway/store_reader.h
+++ b/gateway/store_reader.h
@@ -33,9 +33,9 @@
     std::vector<StoreItem> Items;
     std::vector<Error> Nameless;        // Items without a usable key; they are logged and skipped.
     bool More = false;                  // Another page follows.
-    uint64_t At = 0;                    // Store revision of the data.
+    uint64_t Revision = 0;                    // Store revision of the data.
     TimeUs AgeUs = 0;                   // Time since the data was known to be current; 0 from the store itself.
-    bool Trouble = false;               // The source has lost the store.
+    bool StoreLost = false;               // The source has lost the store.
     TimeUs TriedUs = 0;                 // If so: time since the last failed attempt to reach the store.
     std::string Origin;                 // Address of the instance that reads the store for the source; may be empty.
     std::vector<std::string> Elsewhere; // Redirect: ask one of these instances instead.
@@ -45,7 +45,7 @@
     // Head of a message between instances; the items follow separately.
     template <class Archive> void serialize(Archive& archive)
     {
-        archive(More, At, AgeUs, Trouble, TriedUs, Origin, Elsewhere, EndsDigest);
+        archive(More, Revision, AgeUs, StoreLost, TriedUs, Origin, Elsewhere, EndsDigest);
     }
 };
 
@@ -56,7 +56,7 @@
     std::function<std::string(uint64_t after, TimeUs wait)> ChangesTarget; // Path and query for a long poll.
     std::function<Result<StorePage>(const std::string& body)> ReadPage;    // Decodes a page.
     std::function<Result<StorePage>(const std::string& body)> ReadChanges; // Decodes the answer to a long poll.
-    std::function<std::string(const FollowStep& step)> Remarks;            // Query parameters added to either; may be empty.
+    std::function<std::string(const FollowStep& step)> QueryFlags;            // Query parameters added to either; may be empty.
     int HistoryGoneStatus = 410;                                           // Status if changes since the revision are no longer kept.
 };
 
--- a/gateway/table_adapter.cpp
+++ b/gateway/table_adapter.cpp
@@ -55,7 +55,7 @@
     ObjectReader r;
     if (root && OpenObject(root.get(), "", PlatformCodes, &faults, &r))
     {
-        ReadRevision(&r, "at", true, &page.At);
+        ReadRevision(&r, "at", true, &page.Revision);
         page.More = json_is_true(json_object_get(root.get(), "more"));
         size_t n = 0;
         json_t* value = nullptr;
@@ -63,7 +63,7 @@
         json_array_foreach(rows, n, value)
         {
             StoreItem item;
-            if (ReadItem(value, ElementPath("rows", n), page.At, &nameless, &item))
+            if (ReadItem(value, ElementPath("rows", n), page.Revision, &nameless, &item))
             {
                 page.Items.push_back(std::move(item));
             }
@@ -231,14 +231,14 @@
     {
         if (next.count(entry.first) == 0)
         {
-            AddRemovedTarget(entry.second, items.At, updates);
+            AddRemovedTarget(entry.second, items.Revision, updates);
         }
     }
     for (const auto& entry : next)
     {
         const auto before = state->InForce.find(entry.first);
         const bool same = before != state->InForce.end() && before->second.Revision == entry.second.Revision;
-        if (items.Everything || !same)
+        if (items.IsSnapshot || !same)
         {
             updates->Targets.push_back({entry.second, false});
         }
@@ -249,7 +249,7 @@
 static StoreNews ReadTable(TableState* state, const StoreItems& items)
 {
     StoreNews updates;
-    if (items.Everything)
+    if (items.IsSnapshot)
     {
         state->Rows.clear();
         state->Unusable.clear();
@@ -267,7 +267,7 @@
     {
         updates.Invalid.push_back({entry.first, entry.second});
     }
-    const Table table = MakeTable(*state, items.At);
+    const Table table = MakeTable(*state, items.Revision);
     std::vector<Fault> faults;
     CheckRows(table, &faults); // Checks across rows; ParseRow() has checked each row.
     for (const Fault& fault : faults)
--- a/gateway/target_ends.cpp
+++ b/gateway/target_ends.cpp
@@ -28,7 +28,7 @@
 
 template <class Archive> void serialize(Archive& archive, TargetEndsMessage& message)
 {
-    archive(message.Digest, message.News);
+    archive(message.Digest, message.Updates);
 }
 
 std::string EncodeTargetEnds(const TargetEndsMessage& message)
@@ -62,8 +62,8 @@
 
 static void NotifyFollowers(TargetEnds* ends)
 {
-    ends->Telling = nullptr;
-    ends->ToldUs = NowUs();
+    ends->NotifyTimer = nullptr;
+    ends->NotifiedUs = NowUs();
     ends->OnTell();
 }
 
@@ -93,10 +93,10 @@
 
 static void PushToPeers(TargetEnds* ends)
 {
-    ends->Calling = nullptr;
-    ends->CalledUs = NowUs();
+    ends->PushTimer = nullptr;
+    ends->PushedUs = NowUs();
     const std::string message = EncodeAll(*ends);
-    for (const std::string& address : ends->Others())
+    for (const std::string& address : ends->Peers())
     {
         SendCall(ends, EndsCall_Push, address, message);
     }
@@ -106,22 +106,22 @@
 {
     if (ends->InProgress > 0)
     {
-        ends->Wanted = true;
+        ends->PushWanted = true;
         return;
     }
-    if (!ends->Calling)
+    if (!ends->PushTimer)
     {
-        const TimeUs wait = std::max<TimeUs>(ends->CalledUs + ends->GatherUs - NowUs(), 0);
-        ends->Calling = TimerStart(ends->Loop, wait, [ends]() { PushToPeers(ends); });
+        const TimeUs wait = std::max<TimeUs>(ends->PushedUs + ends->BatchUs - NowUs(), 0);
+        ends->PushTimer = TimerStart(ends->Loop, wait, [ends]() { PushToPeers(ends); });
     }
 }
 
 static void NotifySoon(TargetEnds* ends)
 {
-    if (!ends->Telling)
+    if (!ends->NotifyTimer)
     {
-        const TimeUs wait = std::max<TimeUs>(ends->ToldUs + ends->GatherUs - NowUs(), 0);
-        ends->Telling = TimerStart(ends->Loop, wait, [ends]() { NotifyFollowers(ends); });
+        const TimeUs wait = std::max<TimeUs>(ends->NotifiedUs + ends->BatchUs - NowUs(), 0);
+        ends->NotifyTimer = TimerStart(ends->Loop, wait, [ends]() { NotifyFollowers(ends); });
     }
 }
 
@@ -132,7 +132,7 @@
 // Adds another instance's entries and notifies the followers of new ones. Returns true if there were any.
 static bool Merge(TargetEnds* ends, const TargetEndsMessage& message)
 {
-    const bool changed = QuarantineTake(ends->Known, message.News, NowUs());
+    const bool changed = QuarantineTake(ends->Known, message.Updates, NowUs());
     if (changed)
     {
         NotifySoon(ends);
@@ -160,7 +160,7 @@
     }
     Merge(ends, message.value());
     const bool differs = message.value().Digest != ends->Known->Digest;
-    ends->Wanted = ends->Wanted || (differs && kind == EndsCall_Compare);
+    ends->PushWanted = ends->PushWanted || (differs && kind == EndsCall_Compare);
 }
 
 static void OnCalled(TargetEnds* ends, EndsCall_ kind, const ClientAnswer& answer)
@@ -175,7 +175,7 @@
     {
         MergeAnswer(ends, kind, answer.Body);
     }
-    if (ends->InProgress == 0 && std::exchange(ends->Wanted, false))
+    if (ends->InProgress == 0 && std::exchange(ends->PushWanted, false))
     {
         PushSoon(ends);
     }
@@ -197,12 +197,12 @@
 
 void TargetEndsCompare(TargetEnds* ends)
 {
-    if (ends->Known->Digest == 0 || ends->InProgress > 0 || ends->Calling)
+    if (ends->Known->Digest == 0 || ends->InProgress > 0 || ends->PushTimer)
     {
         return;
     }
     const std::string digest_only = EncodeTargetEnds({ends->Known->Digest, {}});
-    for (const std::string& address : ends->Others())
+    for (const std::string& address : ends->Peers())
     {
         SendCall(ends, EndsCall_Compare, address, digest_only);
     }
--- a/gateway/target_ends.h
+++ b/gateway/target_ends.h
@@ -19,27 +19,27 @@
 
 struct TargetEnds
 {
-    TimeUs GatherUs = 100 * UsPerMs;  // Shortest time between two rounds of calls, and between two notifications of followers.
+    TimeUs BatchUs = 100 * UsPerMs;  // Shortest time between two rounds of calls, and between two notifications of followers.
     TimeUs TimeoutUs = 600 * UsPerMs; // Timeout of a call. A failed call is not retried: the source's next answer triggers another.
     TimeUs ConnectUs = 100 * UsPerMs; // Timeout for its connection.
     EventLoop* Loop = nullptr;
     Client* Calls = nullptr;
     Quarantine* Known = nullptr;
-    std::function<std::vector<std::string>()> Others; // Addresses to push to: the source, or the seeds.
+    std::function<std::vector<std::string>()> Peers; // Addresses to push to: the source, or the seeds.
     std::function<void()> OnTell;                     // Called to notify the followers.
     int InProgress = 0;                               // Calls in flight.
-    bool Wanted = false;                              // More calls are to follow these.
-    TimeUs CalledUs = 0;                              // Start of the last round of calls.
-    TimeUs ToldUs = 0;                                // Time of the last notification of followers.
-    Timer Calling;                                    // Starts the next round of calls.
-    Timer Telling;                                    // Sends the next notification to followers.
+    bool PushWanted = false;                              // More calls are to follow these.
+    TimeUs PushedUs = 0;                              // Start of the last round of calls.
+    TimeUs NotifiedUs = 0;                                // Time of the last notification of followers.
+    Timer PushTimer;                                    // Starts the next round of calls.
+    Timer NotifyTimer;                                    // Sends the next notification to followers.
     uint64_t CallsMade = 0;                           // Counter.
 };
 
 struct TargetEndsMessage
 {
     uint64_t Digest = 0;             // Digest of all entries that the sender knows, see Quarantine.
-    std::vector<TargetEndNews> News; // All these entries; empty to compare digests only.
+    std::vector<TargetEndNews> Updates; // All these entries; empty to compare digests only.
 };
 
 // This instance itself has changed the quarantine.
--- a/gateway/target_signals.cpp
+++ b/gateway/target_signals.cpp
@@ -90,13 +90,13 @@
     {
         signals.LimitPerS = std::min(*limit, LimitMaxPerS);
     }
-    const std::optional<double> cold = ParseNumberHeader(headers, names.ColdMs, &signals);
+    const std::optional<double> cold = ParseNumberHeader(headers, names.WarmupMs, &signals);
     if (cold)
     {
         signals.ColdUs = ToTimeUs(*cold, ColdMaxMs, UsPerMs);
     }
-    const std::string* leaving = FindHeader(headers, names.Leaving);
-    signals.Leaving = leaving != nullptr && *leaving == "1";
+    const std::string* leaving = FindHeader(headers, names.Draining);
+    signals.Draining = leaving != nullptr && *leaving == "1";
     const std::string* retry = IsRefusal(status) ? FindHeader(headers, names.RetryAfter) : nullptr;
     const std::optional<double> backoff = retry != nullptr ? ParseRetryAfter(*retry, headers, now_s) : std::nullopt;
     if (backoff)
@@ -118,8 +118,8 @@
 {
     counters->Limits += signals.LimitPerS ? 1 : 0;
     counters->Backoffs += signals.BackoffUs ? 1 : 0;
-    counters->Leaving += signals.Leaving ? 1 : 0;
-    counters->Unreadable += signals.Unreadable.size();
+    counters->Draining += signals.Draining ? 1 : 0;
+    counters->Invalid += signals.Unreadable.size();
 }
 
 static void LogUnreadable(const SignalSource& source, const std::vector<Header>& unreadable)
@@ -133,15 +133,15 @@
 
 static void LogSignals(const SignalSource& source, int status, const TargetSignals& signals)
 {
-    if (signals.LimitPerS || signals.BackoffUs || signals.Leaving)
+    if (signals.LimitPerS || signals.BackoffUs || signals.Draining)
     {
         LogSample(LogLevel_Info, Code_None, "target signal",
                   {{"target", source.Target},
-                   {"health", source.Health ? 1 : 0},
+                   {"health", source.HealthProbe ? 1 : 0},
                    {"status", status},
                    {"limitPerS", signals.LimitPerS ? fmt::format("{:.3f}", *signals.LimitPerS) : ""},
                    {"backoffUs", signals.BackoffUs.value_or(-1)},
-                   {"leaving", signals.Leaving ? 1 : 0}});
+                   {"leaving", signals.Draining ? 1 : 0}});
     }
     LogUnreadable(source, signals.Unreadable);
 }
@@ -149,16 +149,16 @@
 // Only an answer to a request can remove a limit by not having one: health answers of some targets never contain it.
 static void ApplyLimit(Forwarder* forwarder, const SignalSource& source, const TargetSignals& signals)
 {
-    const bool removes_limit = !source.Health && !forwarder->TargetLimits.Named.empty();
+    const bool removes_limit = !source.HealthProbe && !forwarder->TargetLimits.Limits.empty();
     if (!signals.LimitPerS && !removes_limit)
     {
         return;
     }
-    const uint64_t id = TargetLifeId(source.Target, source.Life);
+    const uint64_t id = TargetLifeId(source.Target, source.Incarnation);
     if (QuotaName(&forwarder->TargetLimits, id, signals.LimitPerS, NowUs()))
     {
         Log(LogLevel_Info, Code_None, signals.LimitPerS ? "target names a limit" : "target names no limit any more",
-            {{"target", source.Target}, {"perS", fmt::format("{:.3f}", signals.LimitPerS.value_or(0))}, {"health", source.Health ? 1 : 0}});
+            {{"target", source.Target}, {"perS", fmt::format("{:.3f}", signals.LimitPerS.value_or(0))}, {"health", source.HealthProbe ? 1 : 0}});
         if (forwarder->OnLimit)
         {
             forwarder->OnLimit();
@@ -170,27 +170,27 @@
 {
     const TimeUs now = NowUs();
     const TimeUs time = signals.BackoffUs.value_or(0);
-    if (time > 0 && PoolBackOff(&service->Pool, source.Target, source.Life, now + time, now))
+    if (time > 0 && PoolBackOff(&service->Pool, source.Target, source.Incarnation, now + time, now))
     {
         Log(LogLevel_Info, Code_None, "target wants nothing",
-            {{"target", source.Target}, {"forUs", time}, {"status", status}, {"health", source.Health ? 1 : 0}});
+            {{"target", source.Target}, {"forUs", time}, {"status", status}, {"health", source.HealthProbe ? 1 : 0}});
     }
 }
 
 static void ApplyDraining(Forwarder* forwarder, const SignalSource& source, const TargetSignals& signals)
 {
-    if (signals.Leaving && DirectoryToldLeaving(&forwarder->Directory, source.Target, source.Life))
+    if (signals.Draining && DirectoryToldLeaving(&forwarder->Directory, source.Target, source.Incarnation))
     {
-        Log(LogLevel_Info, Code_None, "target says that it leaves", {{"target", source.Target}, {"health", source.Health ? 1 : 0}});
+        Log(LogLevel_Info, Code_None, "target says that it leaves", {{"target", source.Target}, {"health", source.HealthProbe ? 1 : 0}});
         // Deferred to the event loop: ForwarderFollow() may send requests, which must not happen inside the header callback of a transfer.
-        forwarder->Following = TimerStart(forwarder->Loop, 0, [forwarder]() { ForwarderFollow(forwarder); });
+        forwarder->FollowTimer = TimerStart(forwarder->Loop, 0, [forwarder]() { ForwarderFollow(forwarder); });
     }
 }
 
 static void ApplyWarmup(ServiceState* service, const SignalSource& source, const TargetSignals& signals)
 {
     PoolTarget* target = signals.ColdUs ? PoolFind(&service->Pool, source.Target) : nullptr;
-    if (target != nullptr && target->Life == source.Life)
+    if (target != nullptr && target->Incarnation == source.Incarnation)
     {
         PoolToldCold(service->Pool.Config, target, NowUs() + *signals.ColdUs);
     }
--- a/gateway/target_signals.h
+++ b/gateway/target_signals.h
@@ -15,7 +15,7 @@
     std::optional<double> LimitPerS; // Rate limit in requests per second, for all instances together.
     std::optional<TimeUs> BackoffUs; // Time for which this instance must send it nothing.
     std::optional<TimeUs> ColdUs;    // Remaining warm-up time.
-    bool Leaving = false;            // Draining: it takes no new requests.
+    bool Draining = false;            // Draining: it takes no new requests.
     std::vector<Header> Unreadable;  // Signal headers with malformed values, which are ignored.
 };
 
@@ -26,8 +26,8 @@
 struct SignalSource
 {
     std::string Target;  // Id of the target.
-    uint64_t Life = 0;   // Incarnation of the target.
-    bool Health = false; // Answer to a health probe; otherwise to a request.
+    uint64_t Incarnation = 0;   // Incarnation of the target.
+    bool HealthProbe = false; // Answer to a health probe; otherwise to a request.
 };
 
 // Applies the signals of an answer to the state of its target.
--- a/tests/ask_time_load_test.cpp
+++ b/tests/ask_time_load_test.cpp
@@ -77,7 +77,7 @@
         AskLoad load;
         load.DeadShare = 0.1;
         const AskLoad played = Play(load);
-        CPPUNIT_ASSERT(AskTimeNow(played.Learnt) <= played.Learnt.MostUs);
+        CPPUNIT_ASSERT(AskTimeNow(played.Learnt) <= played.Learnt.MaxUs);
         CPPUNIT_ASSERT(played.Late <= QuestionsOfADay / 50);
     }
 
@@ -87,7 +87,7 @@
         fast.SlowShare = 0;
         const AskLoad played = Play(fast);
         CPPUNIT_ASSERT_EQUAL(0, played.Late);
-        CPPUNIT_ASSERT_EQUAL(played.Learnt.LeastUs, AskTimeNow(played.Learnt));
+        CPPUNIT_ASSERT_EQUAL(played.Learnt.MinUs, AskTimeNow(played.Learnt));
     }
 
     void ItShrinksOnceAllAnswerInTime()
@@ -95,14 +95,14 @@
         AskTime time;
         AskTimeLate(&time);
         const TimeUs grown = AskTimeNow(time);
-        CPPUNIT_ASSERT(grown > time.LeastUs);
+        CPPUNIT_ASSERT(grown > time.MinUs);
         const int needed = static_cast<int>(1 / time.LateShare); // So many for each late one.
         for (int n = 0; n < needed; n++)
         {
-            CPPUNIT_ASSERT(AskTimeNow(time) > time.LeastUs || n > needed / 2);
+            CPPUNIT_ASSERT(AskTimeNow(time) > time.MinUs || n > needed / 2);
             AskTimeAnswered(&time);
         }
-        CPPUNIT_ASSERT_EQUAL(time.LeastUs, AskTimeNow(time));
+        CPPUNIT_ASSERT_EQUAL(time.MinUs, AskTimeNow(time));
     }
 
     // What the learnt time is for: planted, a time that never grows.
--- a/tests/cold_load_test.cpp
+++ b/tests/cold_load_test.cpp
@@ -136,13 +136,13 @@
     }
     PoolSent(pool, target);
     const TimeUs way = std::uniform_int_distribution<TimeUs>(1, 5)(model->Rng) * UsPerMs;
-    model->Coming.push({model->Now + way, instance, target->Id, target->Entry, false});
+    model->Coming.push({model->Now + way, instance, target->Id, target->Generation, false});
 }
 
 void Arrive(ColdModel* model, const ColdArrival& arrival)
 {
     ColdTarget& target = model->Targets[arrival.Target];
-    const bool cold = model->Now < target.Listed.WarmUntilUs;
+    const bool cold = model->Now < target.Listed.ColdUntilUs;
     model->Sent++;
     if (cold)
     {
@@ -160,7 +160,7 @@
 void End(ColdModel* model, const ColdArrival& arrival)
 {
     PoolTarget* target = PoolFind(&model->Pools[arrival.Instance], arrival.Target);
-    if (target != nullptr && target->Entry == arrival.Entry)
+    if (target != nullptr && target->Generation == arrival.Entry)
     {
         target->InFlight--;
     }
@@ -208,7 +208,7 @@
     for (auto& entry : model.Targets)
     {
         const bool cold = plan.AllCold || n++ < plan.Targets / 4;
-        entry.second.Listed.WarmUntilUs = cold ? model.Now + ColdUs : 0;
+        entry.second.Listed.ColdUntilUs = cold ? model.Now + ColdUs : 0;
         entry.second.Fails = Chance(&model, plan.Failing);
     }
     FollowListed(&model);
--- a/tests/customers_test.cpp
+++ b/tests/customers_test.cpp
@@ -386,7 +386,7 @@
         const auto waits = [](const std::weak_ptr<Call>& entry)
         {
             const CallPtr call = entry.lock();
-            return call && call->Again;
+            return call && call->ProbeRetryTimer;
         };
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return std::count_if(service.Waiting.begin(), service.Waiting.end(), waits) == 2; }));
         std::vector<CallPtr> waiting;
@@ -400,7 +400,7 @@
         {
             if (call && call->Choosing == Choosing_None)
             {
-                CPPUNIT_ASSERT_EQUAL(std::string("ben"), call->By->Name);
+                CPPUNIT_ASSERT_EQUAL(std::string("ben"), call->KeyOwner->Name);
                 return;
             }
         }
@@ -424,7 +424,7 @@
                                       tenants));
             const auto read = [&]()
             {
-                return instance.Store.Following.At >= rig.Store.Revision && instance.Unread.empty();
+                return instance.Store.Following.Revision >= rig.Store.Revision && instance.PendingBatches.empty();
             };
             CPPUNIT_ASSERT_MESSAGE(tenants, RigRun(&rig, read));
             CPPUNIT_ASSERT_EQUAL_MESSAGE(tenants, size_t{1}, instance.Invalid.size());
--- a/tests/fanout_load_test.cpp
+++ b/tests/fanout_load_test.cpp
@@ -43,7 +43,7 @@
 static NewsHolder HolderFor(const FanoutFleet& fleet, const FanoutInstance& holder, const std::string& data_centre)
 {
     NewsHolder known;
-    known.At = 1;
+    known.Revision = 1;
     known.DataCentre = holder.DataCentre;
     for (const int follower : holder.Followers)
     {
@@ -51,7 +51,7 @@
         known.Followers.push_back(one.Address);
         if (one.DataCentre == data_centre)
         {
-            known.Beside.push_back(one.Address);
+            known.Nearby.push_back(one.Address);
         }
     }
     return known;
@@ -78,10 +78,10 @@
         NewsAsker asker;
         asker.Address = self.Address;
         asker.DataCentre = self.DataCentre;
-        asker.Contact = contact;
+        asker.Seed = contact;
         asker.After = 1;
         const NewsAnswer answer = FanoutAsked(&holder.Spread, asker, HolderFor(*fleet, holder, self.DataCentre), fleet->Now, &fleet->Rng);
-        if (answer.Verdict != NewsVerdict_SendOn)
+        if (answer.Action != NewsVerdict_SendOn)
         {
             self.Follows = at;
             holder.Followers.push_back(instance);
@@ -151,18 +151,18 @@
         Fanout spread;
         Random random(1);
         NewsHolder holder;
-        holder.At = 1;
+        holder.Revision = 1;
         holder.DataCentre = "here";
         int here = 0;
         for (int n = 0; n < 6; n++)
         {
             NewsAsker asker;
-            asker.Everything = true;
+            asker.FullRead = true;
             asker.Address = fmt::format("10.0.0.{}:80", n + 1);
             asker.DataCentre = "there";
             const NewsAnswer answer = FanoutAsked(&spread, asker, holder, UsPerSecond, &random);
-            here += answer.Verdict == NewsVerdict_Answer ? 1 : 0;
-            CPPUNIT_ASSERT(answer.Verdict == NewsVerdict_Answer || !answer.Elsewhere.empty());
+            here += answer.Action == NewsVerdict_Answer ? 1 : 0;
+            CPPUNIT_ASSERT(answer.Action == NewsVerdict_Answer || !answer.Elsewhere.empty());
         }
         CPPUNIT_ASSERT_EQUAL(static_cast<int>(spread.Config.FarMost), here);
     }
@@ -172,16 +172,16 @@
         Fanout spread;
         Random random(1);
         NewsHolder holder;
-        holder.At = 1;
-        holder.Lost = true;
+        holder.Revision = 1;
+        holder.StoreLost = true;
         holder.DataCentre = "here";
         holder.Followers = {"10.0.0.1:80", "10.0.0.2:80"};
-        holder.Beside = holder.Followers;
+        holder.Nearby = holder.Followers;
         NewsAsker asker;
         asker.Address = "10.0.0.3:80";
         asker.DataCentre = "there";
         asker.After = 1;
-        CPPUNIT_ASSERT_EQUAL(NewsVerdict_Answer, FanoutAsked(&spread, asker, holder, UsPerSecond, &random).Verdict);
+        CPPUNIT_ASSERT_EQUAL(NewsVerdict_Answer, FanoutAsked(&spread, asker, holder, UsPerSecond, &random).Action);
     }
 
     // Planted: instances that don't say where they are.
--- a/tests/follow_load_test.cpp
+++ b/tests/follow_load_test.cpp
@@ -177,7 +177,7 @@
 SourceNews NewsOf(const Model& model, const ModelInstance& self)
 {
     const Follow& following = self.Following;
-    return {following.At, model.Now - following.FreshUs, self.Lost, self.Lost ? model.Now - self.TriedUs : 0, following.Origin};
+    return {following.Revision, model.Now - following.FreshUs, self.Lost, self.Lost ? model.Now - self.TriedUs : 0, following.Origin};
 }
 
 void OnNews(Model* model, size_t instance, uint64_t call, const SourceNews& news);
@@ -187,15 +187,15 @@
     ModelInstance& self = model->Fleet[server];
     const size_t to = wait.From;
     const uint64_t call = wait.Call;
-    if (self.Following.At == 0)
+    if (self.Following.Revision == 0)
     {
         At(model, model->Now + OneWayUs, [=]() { CallFailed(model, to, call, false); });
         return;
     }
     const TimeUs sent = Work(model, server, model->Now, MessageUs / 4); // Most of a message's work is at the one that reads it.
-    self.LinkUs = wait.Asker.Everything ? std::max(self.LinkUs, sent) + TransferUs : self.LinkUs;
-    const TimeUs there = (wait.Asker.Everything ? self.LinkUs : sent) + OneWayUs;
-    const TimeUs read = wait.Asker.Everything ? EverythingUs : MessageUs;
+    self.LinkUs = wait.Asker.FullRead ? std::max(self.LinkUs, sent) + TransferUs : self.LinkUs;
+    const TimeUs there = (wait.Asker.FullRead ? self.LinkUs : sent) + OneWayUs;
+    const TimeUs read = wait.Asker.FullRead ? EverythingUs : MessageUs;
     const SourceNews news = NewsOf(*model, self);
     At(model, there, [=]() { At(model, Work(model, to, model->Now, read), [=]() { OnNews(model, to, call, news); }); });
 }
@@ -222,13 +222,13 @@
     ModelInstance& self = model->Fleet[server];
     self.ToldUs = model->Now;
     self.ToldFreshUs = self.Following.FreshUs;
-    const bool knows = self.Following.At != 0;
-    EndWaits(model, server, [knows](const NewsAsker& asker) { return !asker.Lead && (knows || !asker.Everything); });
+    const bool knows = self.Following.Revision != 0;
+    EndWaits(model, server, [knows](const NewsAsker& asker) { return !asker.AskStore && (knows || !asker.FullRead); });
 }
 
 void AnswerLeads(Model* model, size_t server)
 {
-    EndWaits(model, server, [](const NewsAsker& asker) { return asker.Lead; });
+    EndWaits(model, server, [](const NewsAsker& asker) { return asker.AskStore; });
 }
 
 void OnLost(Model* model, size_t instance, TimeUs tried)
@@ -237,9 +237,9 @@
     const bool tell = !self.Lost || model->Now >= self.ToldUs + BeatUs;
     self.Lost = true;
     self.TriedUs = std::max(self.TriedUs, tried);
-    if (self.Following.At == 0)
+    if (self.Following.Revision == 0)
     {
-        EndWaits(model, instance, [](const NewsAsker& asker) { return asker.Everything && asker.Lost && !asker.Lead; });
+        EndWaits(model, instance, [](const NewsAsker& asker) { return asker.FullRead && asker.StoreLost && !asker.AskStore; });
     }
     else if (tell)
     {
@@ -256,11 +256,11 @@
         return;
     }
     self.Call = 0;
-    const uint64_t before = self.Following.At;
+    const uint64_t before = self.Following.Revision;
     const bool from_store = self.Following.Next.Kind == SourceKind_Store;
     const FollowVerdict_ verdict = FollowHeard(&self.Following, news, model->Now, &model->Rng);
     model->Left += verdict == FollowVerdict_Behind || verdict == FollowVerdict_Ours ? 1 : 0;
-    const bool changed = self.Following.At > before;
+    const bool changed = self.Following.Revision > before;
     if (changed)
     {
         Tell(model, instance);
@@ -291,9 +291,9 @@
     model->StoreCalls++;
     model->CallsFor[step.Reason]++;
     const Follow& following = model->Fleet[instance].Following;
-    const bool everything = following.At == 0;
-    const uint64_t after = following.At;
-    const TimeUs wait = step.WaitMostUs > 0 ? std::min(step.WaitMostUs, StoreWaitUs) : StoreWaitUs;
+    const bool everything = following.Revision == 0;
+    const uint64_t after = following.Revision;
+    const TimeUs wait = step.WaitMaxUs > 0 ? std::min(step.WaitMaxUs, StoreWaitUs) : StoreWaitUs;
     if (model->Silent || model->Mute(instance))
     {
         At(model, model->Now + wait + (StoreMarginUs << step.MarginDoublings), [=]() { CallFailed(model, instance, call, true); });
@@ -334,14 +334,14 @@
     {
         followers.push_back(entry.second.Asker.Address);
     }
-    const NewsHolder holder = {self.Following.At, self.Lost, std::move(followers), {}, ""};
+    const NewsHolder holder = {self.Following.Revision, self.Lost, std::move(followers), {}, ""};
     const NewsAnswer answer = FanoutAsked(&self.Spread, wait.Asker, holder, model->Now, &model->Rng);
-    if (answer.Verdict == NewsVerdict_Answer)
+    if (answer.Action == NewsVerdict_Answer)
     {
         SendAnswer(model, server, wait);
         return;
     }
-    if (answer.Verdict == NewsVerdict_SendOn)
+    if (answer.Action == NewsVerdict_SendOn)
     {
         const auto sent_on = [=]()
         {
@@ -357,7 +357,7 @@
         return;
     }
     self.Waits[wait.Call] = wait;
-    if (answer.Verdict == NewsVerdict_Lead && FollowAsked(&self.Following))
+    if (answer.Action == NewsVerdict_Lead && FollowAsked(&self.Following))
     {
         self.Call = 0;
         Step(model, server);
@@ -376,10 +376,10 @@
 void AskInstance(Model* model, size_t instance, uint64_t call, const FollowStep& step)
 {
     const Follow& following = model->Fleet[instance].Following;
-    ModelWait wait{instance, call, {following.Own, following.At == 0, following.At, step.Lead, step.Lost, "", false}};
-    const TimeUs usual = wait.Asker.Everything ? HoldUs : PeerWaitUs;
-    const TimeUs most = step.WaitMostUs > 0 ? std::min(step.WaitMostUs, usual) : usual;
-    const TimeUs margin = wait.Asker.Everything ? 700 * UsPerMs : PeerMarginUs;
+    ModelWait wait{instance, call, {following.Own, following.Revision == 0, following.Revision, step.AskStore, step.StoreLost, "", false}};
+    const TimeUs usual = wait.Asker.FullRead ? HoldUs : PeerWaitUs;
+    const TimeUs most = step.WaitMaxUs > 0 ? std::min(step.WaitMaxUs, usual) : usual;
+    const TimeUs margin = wait.Asker.FullRead ? 700 * UsPerMs : PeerMarginUs;
     const size_t server = InstanceAt(*model, step.Address);
     const auto arrives = [=]()
     {
@@ -425,7 +425,7 @@
        {
            ModelInstance fresh;
            const Follow& old = model->Fleet[instance].Following;
-           FollowSetSources(&fresh.Following, old.Own, old.StoreAddress, old.Named, &model->Rng);
+           FollowSetSources(&fresh.Following, old.Own, old.StoreAddress, old.Seeds, &model->Rng);
            fresh.Life = Life_Up;
            model->Fleet[instance] = fresh;
            FollowStart(&model->Fleet[instance].Following, model->Now);
@@ -487,7 +487,7 @@
     Knowledge seen;
     for (const ModelInstance& instance : model.Fleet)
     {
-        const bool knows = instance.Following.At != 0;
+        const bool knows = instance.Following.Revision != 0;
         seen.Without += instance.Life == Life_Up && !knows ? 1 : 0;
         const bool counts = instance.Life == Life_Up && knows;
         seen.OldestUs = counts ? std::max(seen.OldestUs, model.Now - instance.Following.FreshUs) : seen.OldestUs;
@@ -605,7 +605,7 @@
         RunUntil(&model, 450 * UsPerMs);
         for (size_t n = ContactCount; n < model.Fleet.size(); n++)
         {
-            const bool knows = model.Fleet[n].Following.At != 0;
+            const bool knows = model.Fleet[n].Following.Revision != 0;
             CPPUNIT_ASSERT_EQUAL_MESSAGE(fmt::format("instance {}", n), n < ContactCount + needed, knows);
         }
         RunUntil(&model, 1200 * UsPerMs);
--- a/tests/gateway_faults_test.cpp
+++ b/tests/gateway_faults_test.cpp
@@ -191,7 +191,7 @@
         route.Attempts = 2;
         RigConfigure(&rig, {route});
         Gateway& instance = RigInstance(&rig, 5);
-        instance.Requests.Services["svc"].Repeats.Extra = 100;
+        instance.Requests.Services["svc"].Retries.Extra = 100;
         for (const auto& target : rig.Targets)
         {
             target->Script = {TargetAct_Reset, TargetAct_Reset, TargetAct_Reset};
@@ -211,7 +211,7 @@
         route.Attempts = 3;
         RigConfigure(&rig, {route});
         Gateway& instance = RigInstance(&rig, 3);
-        instance.Requests.Services["svc"].Repeats.Extra = 100;
+        instance.Requests.Services["svc"].Retries.Extra = 100;
         const RigAnswer answer = RigAsk(&rig, instance, Write());
         CPPUNIT_ASSERT_EQUAL(200, answer.Answer.Status);
         CPPUNIT_ASSERT_EQUAL(1, RigRuns(rig, answer.Id));
@@ -329,7 +329,7 @@
         RigTarget(&rig, "t2");
         RigConfigure(&rig, {UsersRoute()});
         Gateway& instance = RigInstance(&rig, 2);
-        RepeatBudget& budget = instance.Requests.Services["svc"].Repeats;
+        RepeatBudget& budget = instance.Requests.Services["svc"].Retries;
         budget.Share = 0.2;
         budget.Extra = 1;
         constexpr int requests = 100;
@@ -363,7 +363,7 @@
             CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status);
         }
         instance.Requests.Config.SlowFactor = 1.7;
-        instance.Requests.Services["svc"].Asks.LeastUs = RigLimitUs;
+        instance.Requests.Services["svc"].ProbeTimeout.MinUs = RigLimitUs;
         mute.Mute = true;
         slow.WorkUs = UsPerSecond;
         const int asked_before = mute.HealthAsked;
@@ -373,9 +373,9 @@
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return answer->Done; }));
         CPPUNIT_ASSERT_EQUAL(200, answer->Answer.Status);
         int repeats = 0;
-        for (const RepeatBudget::Step& step : instance.Requests.Services["svc"].Repeats.Counts)
+        for (const RepeatBudget::Step& step : instance.Requests.Services["svc"].Retries.Counts)
         {
-            repeats += step.Repeats;
+            repeats += step.Retries;
         }
         CPPUNIT_ASSERT_EQUAL(0, repeats);
     }
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -303,7 +303,7 @@
         patient.TimeoutS = 60;
         RigConfigure(&rig, {patient});
         Gateway& instance = RigInstance(&rig, 2);
-        instance.Requests.Services["svc"].Asks.LeastUs = RigLimitUs; // A question is never given up here.
+        instance.Requests.Services["svc"].ProbeTimeout.MinUs = RigLimitUs; // A question is never given up here.
         CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status);
         RigIdle(&rig, 200 * UsPerMs); // What was told is old by now.
         const std::string next = PoolNext(&instance.Requests.Services["svc"].Pool, {}, false, NowUs())->Id;
@@ -313,7 +313,7 @@
         const RigAnswer answer = RigAsk(&rig, instance, RigCall());
         CPPUNIT_ASSERT_EQUAL(200, answer.Answer.Status);
         CPPUNIT_ASSERT_EQUAL(1, UsersTargetRuns(other, answer.Id));
-        CPPUNIT_ASSERT_EQUAL(size_t{1}, instance.Requests.Services["svc"].Questions.size()); // The first question is still on its way.
+        CPPUNIT_ASSERT_EQUAL(size_t{1}, instance.Requests.Services["svc"].Probes.size()); // The first question is still on its way.
     }
 
     void RequestsShareAQuestion()
@@ -324,7 +324,7 @@
         route.AimS = 10;
         RigConfigure(&rig, {route});
         Gateway& instance = RigInstance(&rig, 1);
-        instance.Requests.Services["svc"].Asks.LeastUs =
+        instance.Requests.Services["svc"].ProbeTimeout.MinUs =
             RigLimitUs; // The question stays on its way while all three come, until their timeout.
         target.Mute = true;
         const std::vector<RigAnswerPtr> answers = {RigSend(&rig, instance, RigCall()), RigSend(&rig, instance, RigCall()),
@@ -371,7 +371,7 @@
         CPPUNIT_ASSERT_EQUAL(size_t{5}, far.Saw.size());
         CPPUNIT_ASSERT_EQUAL(1, near.HealthAsked);
         const PoolTarget* known = PoolFind(&instance.Requests.Services.at("svc").Pool, "near");
-        CPPUNIT_ASSERT(known->WarmUntilUs > NowUs() + 30 * UsPerSecond);
+        CPPUNIT_ASSERT(known->ColdUntilUs > NowUs() + 30 * UsPerSecond);
     }
 
     void ServesTargetsThatTellNoLoad()
@@ -538,7 +538,7 @@
         WriteSettings(instance.SettingsFile, instance.Config, R"(,"graceS":2.5,"repeatShare":0.05)");
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.DataCentre == "dc-b"; })); // Without any signal.
         CPPUNIT_ASSERT_EQUAL(TimeUs{2500000}, instance.Config.GraceUs);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(0.05, instance.Requests.Config.RepeatShare, 1e-9);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(0.05, instance.Requests.Config.RetryShare, 1e-9);
         unlink(instance.SettingsFile.c_str());
     }
 
--- a/tests/pipeline_test.cpp
+++ b/tests/pipeline_test.cpp
@@ -159,7 +159,7 @@
     {
         Setting setting;
         Prepare(&setting, 2, LongWorkUs);
-        setting.Instance->Callers.Config.OverlapMost = 3;
+        setting.Instance->Callers.Config.OverlapMax = 3;
         const RawCaller caller(&setting.Fleet.Loop, setting.Instance->Config.CallerAddress);
         std::string all;
         for (int n = 0; n < 9; n++)
--- a/tests/plan_test.cpp
+++ b/tests/plan_test.cpp
@@ -106,9 +106,9 @@
     void MethodsMayBeRepeatedOneByOne()
     {
         Route route = MakeRoute("r", "", "/");
-        route.RepeatMethods = {"GET", "PUT"};
+        route.RetryMethods = {"GET", "PUT"};
         CPPUNIT_ASSERT(MayRepeat(route, "PUT") && !MayRepeat(route, "POST") && !MayRepeat(route, "get"));
-        route.Repeatable = true;
+        route.Retryable = true;
         CPPUNIT_ASSERT(MayRepeat(route, "POST"));
     }
 
--- a/tests/pool_test.cpp
+++ b/tests/pool_test.cpp
@@ -90,7 +90,7 @@
         const TimeUs now = UsPerSecond;
         PoolReport(PoolFind(&pool, "t0"), {0, 0, 3, 500}, now);
         CPPUNIT_ASSERT_EQUAL(std::string("t1"), PoolNext(&pool, {}, false, now + UsPerMs)->Id);
-        const TimeUs later = now + pool.Config.ReportUs + 1; // The report says nothing any more.
+        const TimeUs later = now + pool.Config.ReportMaxAgeUs + 1; // The report says nothing any more.
         CPPUNIT_ASSERT_EQUAL(std::string("t0"), PoolNext(&pool, {}, false, later)->Id);
     }
 
@@ -117,7 +117,7 @@
     void VanishedTargetsComeLast()
     {
         TargetPool pool = PoolOf(4);
-        PoolFind(&pool, "t0")->Doubtful = true;
+        PoolFind(&pool, "t0")->EntryMissing = true;
         std::vector<std::string> asked;
         asked.reserve(3);
         for (int n = 0; n < 3; n++)
@@ -217,7 +217,7 @@
         target.Weight = static_cast<int>(dice->Between(1, 3));
         target.Presence = dice->OneIn(8) ? Presence_Vanished : dice->OneIn(8) ? Presence_Leaving : Presence_Ready;
         target.Evacuated = dice->OneIn(10);
-        target.WarmUntilUs = dice->OneIn(4) ? now + dice->Between(0, 4) * UsPerSecond : 0;
+        target.ColdUntilUs = dice->OneIn(4) ? now + dice->Between(0, 4) * UsPerSecond : 0;
         return target;
     }
 
@@ -302,13 +302,13 @@
                            const double cost = PoolCost(pool, a, now);
                            RC_ASSERT(cost > 0);
                            PoolTarget busier = a;
-                           busier.Since++;
+                           busier.SentSinceReport++;
                            RC_ASSERT(PoolCost(pool, busier, now) >= cost);
                            PoolTarget slower = a;
                            slower.Report.PacePercent += 50;
                            RC_ASSERT(PoolCost(pool, slower, now) >= cost);
                            PoolTarget cold = a;
-                           cold.WarmUntilUs = now + 1;
+                           cold.ColdUntilUs = now + 1;
                            RC_ASSERT(PoolCost(pool, cold, now) >= cost);
                        });
     }
--- a/tests/quarantine_test.cpp
+++ b/tests/quarantine_test.cpp
@@ -107,7 +107,7 @@
             RigAsk(&fleet.Parts, *fleet.Instances[0], RigCall());
         }
         RigIdle(&fleet.Parts, SpreadUs);
-        CPPUNIT_ASSERT(fleet.Instances[0]->Requests.Held.Requests.empty());
+        CPPUNIT_ASSERT(fleet.Instances[0]->Requests.Quarantined.Requests.empty());
         CPPUNIT_ASSERT_EQUAL(200, RigAsk(&fleet.Parts, *fleet.Instances[0], RigCall()).Answer.Status);
     }
 
@@ -124,7 +124,7 @@
         UsersTargetStop(&target);
         CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return answer->Done; }));
         RigIdle(&fleet.Parts, SpreadUs);
-        CPPUNIT_ASSERT(fleet.Instances[0]->Requests.Held.Requests.empty());
+        CPPUNIT_ASSERT(fleet.Instances[0]->Requests.Quarantined.Requests.empty());
     }
 
     // It was at two targets that ended, and is answered by the third: all instances count from nothing again.
@@ -139,8 +139,8 @@
             target->EndsOn.clear();
         }
         CPPUNIT_ASSERT_EQUAL(200, fleet.AskEnding(*fleet.Instances[0]).Answer.Status);
-        const Quarantine& other = fleet.Instances[1]->Requests.Held;
-        CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return other.Digest == fleet.Instances[0]->Requests.Held.Digest; }));
+        const Quarantine& other = fleet.Instances[1]->Requests.Quarantined;
+        CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return other.Digest == fleet.Instances[0]->Requests.Quarantined.Digest; }));
         CPPUNIT_ASSERT_EQUAL(0, QuarantineEnds(other, other.Requests.begin()->first));
     }
 
@@ -154,7 +154,7 @@
             const uint64_t life = 1000 + static_cast<uint64_t>(n);
             fleet.StartAgain("t1", life);
             const TargetDirectory& directory = fleet.Instances[0]->Requests.Directory;
-            CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return directory.Targets.at("t1").Life == life; }));
+            CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return directory.Targets.at("t1").Incarnation == life; }));
         }
         CPPUNIT_ASSERT_EQUAL(503, fleet.AskEnding(*fleet.Instances[0]).Answer.Status);
     }
@@ -171,14 +171,14 @@
         fleet.AskEnding(first);
         fleet.AskEnding(second);
         RigIdle(&fleet.Parts, 2 * SpreadUs);
-        const std::string key = first.Requests.Held.Requests.begin()->first;
-        CPPUNIT_ASSERT_EQUAL(2, QuarantineEnds(first.Requests.Held, key));
-        CPPUNIT_ASSERT_EQUAL(1, QuarantineEnds(second.Requests.Held, key));
+        const std::string key = first.Requests.Quarantined.Requests.begin()->first;
+        CPPUNIT_ASSERT_EQUAL(2, QuarantineEnds(first.Requests.Quarantined, key));
+        CPPUNIT_ASSERT_EQUAL(1, QuarantineEnds(second.Requests.Quarantined, key));
         CPPUNIT_ASSERT(bool(RelayStart(&first.Peers, &fleet.Parts.Loop, &first.Rng, fleet.Contacts[0])));
         CPPUNIT_ASSERT(bool(RelayStart(&second.Peers, &fleet.Parts.Loop, &second.Rng, fleet.Contacts[1])));
         const auto know_all = [&]()
         {
-            return QuarantineEnds(first.Requests.Held, key) == 3 && QuarantineEnds(second.Requests.Held, key) == 3;
+            return QuarantineEnds(first.Requests.Quarantined, key) == 3 && QuarantineEnds(second.Requests.Quarantined, key) == 3;
         };
         CPPUNIT_ASSERT(RigRun(&fleet.Parts, know_all));
     }
@@ -210,9 +210,9 @@
             fleet.AskEnding(*fleet.Instances[0]);
         }
         const Gateway& other = *fleet.Instances[1];
-        CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return !other.Requests.Held.Requests.empty(); }));
-        const std::string key = other.Requests.Held.Requests.begin()->first;
-        CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return QuarantineEnds(other.Requests.Held, key) == 3; }));
+        CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return !other.Requests.Quarantined.Requests.empty(); }));
+        const std::string key = other.Requests.Quarantined.Requests.begin()->first;
+        CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return QuarantineEnds(other.Requests.Quarantined, key) == 3; }));
         CPPUNIT_ASSERT(StatusText(other).find(key) != std::string::npos);
         CPPUNIT_ASSERT(MetricsText(other).find("winchlink_requests_held 1\n") != std::string::npos);
         ClientRequest lift;
@@ -224,7 +224,7 @@
         ClientSend(&fleet.Parts.Callers, lift, [&](const ClientAnswer& answer) { said = answer.Body; });
         CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return !said.empty(); }));
         CPPUNIT_ASSERT_EQUAL(std::string(LiftedText), said);
-        const Quarantine& first = fleet.Instances[0]->Requests.Held;
+        const Quarantine& first = fleet.Instances[0]->Requests.Quarantined;
         CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return QuarantineEnds(first, key) == 0; }));
         CPPUNIT_ASSERT_EQUAL(502, fleet.AskEnding(*fleet.Instances[0]).Answer.Status); // It is sent again, and counts anew.
         CPPUNIT_ASSERT_EQUAL(4, fleet.Ended());
@@ -269,7 +269,7 @@
     void ItIsLetGoInTimeAndHeldForLongerTheNextTime()
     {
         Quarantine quarantine;
-        const TimeUs hold = quarantine.Config.HoldUs;
+        const TimeUs hold = quarantine.Config.QuarantineUs;
         for (int n = 0; n < 3; n++)
         {
             CPPUNIT_ASSERT_EQUAL(TimeUs{0}, QuarantineUntil(quarantine, "r", UsPerSecond));
@@ -294,16 +294,16 @@
         {
             QuarantineNote(&quarantine, "held", fmt::format("t{}", n), UsPerSecond);
         }
-        for (size_t n = 0; n < quarantine.Config.RequestsMost + 100; n++)
+        for (size_t n = 0; n < quarantine.Config.RequestsMax + 100; n++)
         {
             QuarantineNote(&quarantine, fmt::format("r{}", n), "t9", 2 * UsPerSecond);
         }
-        for (size_t n = 0; n < quarantine.Config.EndsKept + 10; n++)
+        for (size_t n = 0; n < quarantine.Config.CrashesMax + 10; n++)
         {
             QuarantineNote(&quarantine, "held", fmt::format("more-{}", n), 3 * UsPerSecond);
         }
-        CPPUNIT_ASSERT_EQUAL(quarantine.Config.RequestsMost, quarantine.Requests.size());
-        CPPUNIT_ASSERT_EQUAL(quarantine.Config.EndsKept, quarantine.Requests.at("held").Ends.size());
+        CPPUNIT_ASSERT_EQUAL(quarantine.Config.RequestsMax, quarantine.Requests.size());
+        CPPUNIT_ASSERT_EQUAL(quarantine.Config.CrashesMax, quarantine.Requests.at("held").Crashes.size());
         CPPUNIT_ASSERT(QuarantineUntil(quarantine, "held", 3 * UsPerSecond) > 0);
         const std::string long_name(1000, 'x');
         CPPUNIT_ASSERT(!QuarantineTake(&quarantine, {{long_name, "t", 0, false}, {"r", "", 0, false}, {"r", "t", -1, false}}, UsPerSecond));
--- a/tests/quota_fleet.cpp
+++ b/tests/quota_fleet.cpp
@@ -33,7 +33,7 @@
     QuotaFleetInstance& one = fleet->Instances[static_cast<size_t>(instance)];
     one.Known = Quota();
     one.Known.Config = fleet->Config;
-    one.Known.Decides = IsContact(instance) || fleet->Alone;
+    one.Known.IsSeed = IsContact(instance) || fleet->Alone;
     one.Known.StartedUs = fleet->Now;
     one.Parent = ParentOf(instance);
     one.NextUs = fleet->Now + std::uniform_int_distribution<TimeUs>(0, TickUs)(fleet->Rng);
@@ -101,7 +101,7 @@
 // Whether the instance has anything to tell others.
 static bool Tells(const QuotaFleet& fleet, const Quota& known)
 {
-    return !fleet.Alone && (!fleet.OfTargets || !known.Named.empty());
+    return !fleet.Alone && (!fleet.OfTargets || !known.Limits.empty());
 }
 
 static void Post(QuotaFleet* fleet, QuotaFleetMessage message)
--- a/tests/quota_link_test.cpp
+++ b/tests/quota_link_test.cpp
@@ -14,7 +14,7 @@
     message.Kind = QuotaMessage_Report;
     message.Report.Members = 28;
     message.Report.Covered = 27.5;
-    message.Report.Most = {30, 5 * UsPerSecond};
+    message.Report.FleetSize = {30, 5 * UsPerSecond};
     for (int n = 0; n < entries; n++)
     {
         message.Report.Entries.push_back({static_cast<uint64_t>(n), {1.0 * n, 2, 3, 4}});
@@ -53,7 +53,7 @@
         CPPUNIT_ASSERT_EQUAL(size_t{3}, report.value().Report.Entries.size());
         CPPUNIT_ASSERT_EQUAL(2.0, report.value().Report.Entries[2].Count.Admitted);
         CPPUNIT_ASSERT_EQUAL(27.5, report.value().Report.Covered);
-        CPPUNIT_ASSERT_EQUAL(5 * UsPerSecond, report.value().Report.Most.AgeUs);
+        CPPUNIT_ASSERT_EQUAL(5 * UsPerSecond, report.value().Report.FleetSize.AgeUs);
         QuotaMessage answer;
         answer.Kind = QuotaMessage_Answer;
         answer.Answer.Shares = {{7, 0.25}};
@@ -68,14 +68,14 @@
     {
         QuotaMessage message = Report(1);
         message.Subject = QuotaSubject_Targets;
-        message.Report.Named = {{9, 2.5, true, 30 * UsPerMs}, {10, 0, false, 0}};
+        message.Report.Limits = {{9, 2.5, true, 30 * UsPerMs}, {10, 0, false, 0}};
         const Result<QuotaMessage> back = DecodeQuota(EncodeQuota(message));
         CPPUNIT_ASSERT(bool(back));
         CPPUNIT_ASSERT_EQUAL(static_cast<int>(QuotaSubject_Targets), static_cast<int>(back.value().Subject));
-        CPPUNIT_ASSERT_EQUAL(size_t{2}, back.value().Report.Named.size());
-        CPPUNIT_ASSERT_EQUAL(2.5, back.value().Report.Named[0].PerS);
-        CPPUNIT_ASSERT(back.value().Report.Named[0].InForce);
-        CPPUNIT_ASSERT_EQUAL(30 * UsPerMs, back.value().Report.Named[0].AgeUs);
+        CPPUNIT_ASSERT_EQUAL(size_t{2}, back.value().Report.Limits.size());
+        CPPUNIT_ASSERT_EQUAL(2.5, back.value().Report.Limits[0].PerS);
+        CPPUNIT_ASSERT(back.value().Report.Limits[0].InForce);
+        CPPUNIT_ASSERT_EQUAL(30 * UsPerMs, back.value().Report.Limits[0].AgeUs);
     }
 
     void LimitsThatMakeNoSenseArePassedOver()
@@ -85,13 +85,13 @@
         for (const double wrong : {-1.0, 1e300, std::nan("")})
         {
             QuotaReport report;
-            report.Named = {{1, wrong, true, 0}};
+            report.Limits = {{1, wrong, true, 0}};
             QuotaHeardReport(&quota, "x", report, false, now);
         }
         QuotaReport old;
-        old.Named = {{1, 1, true, quota.Config.NamedKeptUs + 1}, {2, 1, true, -1}};
+        old.Limits = {{1, 1, true, quota.Config.NamedKeptUs + 1}, {2, 1, true, -1}};
         QuotaHeardReport(&quota, "x", old, false, now);
-        CPPUNIT_ASSERT(quota.Named.empty());
+        CPPUNIT_ASSERT(quota.Limits.empty());
     }
 
     void BytesThatAreNoMessageAreRefused()
@@ -170,7 +170,7 @@
     void WhatNoTargetRanDoesNotCount()
     {
         Quota quota;
-        quota.Decides = true;
+        quota.IsSeed = true;
         Random random(1);
         Customer customer;
         customer.Id = 1;
--- a/tests/quota_load_test.cpp
+++ b/tests/quota_load_test.cpp
@@ -285,7 +285,7 @@
         const size_t large = QuotaFleetAdd(&fleet, LargePerS * QuotaShare, LargePerS * HotFactor);
         for (QuotaFleetInstance& instance : fleet.Instances)
         {
-            instance.Known.Decides = true;
+            instance.Known.IsSeed = true;
         }
         QuotaFleetRun(&fleet, 10 * UsPerSecond);
         const QuotaFleetCustomer& asking = fleet.Asking[large];
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -13,9 +13,9 @@
 static StorePage RandomPage(Dice* dice)
 {
     StorePage page;
-    page.At = static_cast<uint64_t>(dice->Between(0, 1000000));
+    page.Revision = static_cast<uint64_t>(dice->Between(0, 1000000));
     page.AgeUs = dice->Between(0, UsPerSecond);
-    page.Trouble = dice->OneIn(2);
+    page.StoreLost = dice->OneIn(2);
     for (int64_t n = dice->Between(0, 20); n > 0; n--)
     {
         StoreItem item;
@@ -84,7 +84,7 @@
                 const StorePage page = RandomPage(&dice);
                 const Result<StorePage> read = DecodePage(EncodePage(page));
                 RC_ASSERT(bool(read));
-                RC_ASSERT(read.value().At == page.At && read.value().AgeUs == page.AgeUs && read.value().Trouble == page.Trouble);
+                RC_ASSERT(read.value().Revision == page.Revision && read.value().AgeUs == page.AgeUs && read.value().StoreLost == page.StoreLost);
                 RC_ASSERT(read.value().Items.size() == page.Items.size());
                 for (size_t n = 0; n < page.Items.size(); n++)
                 {
@@ -136,7 +136,7 @@
     {
         const Follow& following = gateway.Store.Following;
         return following.Next.Kind != SourceKind_Store && following.Next.Kind != SourceKind_None && following.Tried == 0 &&
-               following.At != 0;
+               following.Revision != 0;
     }
 
     void FollowersLeaveTheStoreAlone()
@@ -171,21 +171,21 @@
         RigConfigure(&rig, {UsersRoute()});
         const std::vector<std::string> readers = {FreeAddress()};
         std::vector<Gateway*> all = {&RigStartWith(&rig, ReaderSettings(rig, readers, 0))};
-        all[0]->Peers.Spread.Config.FollowersMost = 2;
+        all[0]->Peers.FollowerLimits.Config.FollowersMost = 2;
         RigAwait(&rig, *all[0], 1);
         int referred = 0;
         for (int n = 0; n < 8; n++)
         {
             all.push_back(&RigStartWith(&rig, FollowerSettings(rig, readers)));
-            all.back()->Peers.Spread.Config.FollowersMost = 2;
+            all.back()->Peers.FollowerLimits.Config.FollowersMost = 2;
             RigAwait(&rig, *all.back(), 1);
             RigIdle(&rig, 20 * UsPerMs); // It waits for changes somewhere.
         }
         RigIdle(&rig, 3 * UsPerSecond);
         for (const Gateway* instance : all)
         {
-            referred += instance->Store.Following.Sent ? 1 : 0;
-            CPPUNIT_ASSERT(instance->Peers.Waits.size() <= 2);
+            referred += instance->Store.Following.Redirected ? 1 : 0;
+            CPPUNIT_ASSERT(instance->Peers.HeldRequests.size() <= 2);
             CPPUNIT_ASSERT_EQUAL(uint64_t{0}, instance->Store.CallsFailed);
         }
         CPPUNIT_ASSERT(referred >= 6);
@@ -249,7 +249,7 @@
         RigAwait(&rig, follower, 0);
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return FollowsAPeer(follower); }));
         UsersStoreSetMode(&second, StoreMode_Silent);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return reader.Peers.Trouble; }));
+        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return reader.Peers.StoreLost; }));
         RigConfigure(&rig, {UsersRoute()});
         RigAwait(&rig, follower, 0);
     }
@@ -336,8 +336,8 @@
         UsersStoreRemove(&rig.Store, "servers/t0");
         const auto same = [&]()
         {
-            const bool known = follower.Store.Following.At == rig.Store.Revision && reader.Store.Following.At == rig.Store.Revision;
-            return known && follower.Unread.empty();
+            const bool known = follower.Store.Following.Revision == rig.Store.Revision && reader.Store.Following.Revision == rig.Store.Revision;
+            return known && follower.PendingBatches.empty();
         };
         CPPUNIT_ASSERT(RigRun(&rig, same));
         CPPUNIT_ASSERT(follower.Requests.Directory.Targets.count("t9") == 1);
@@ -362,7 +362,7 @@
         reader.Store.FromStore.ReadUs = 150 * UsPerMs;
         const Gateway& follower = RigStartWith(&rig, FollowerSettings(rig, readers));
         RigIdle(&rig, 100 * UsPerMs);
-        CPPUNIT_ASSERT_EQUAL(size_t{1}, reader.Peers.Waits.size()); // It is held there.
+        CPPUNIT_ASSERT_EQUAL(size_t{1}, reader.Peers.HeldRequests.size()); // It is held there.
         UsersStoreSetMode(&rig.Store, StoreMode_Good);
         RigAwait(&rig, follower, 1);
     }
@@ -375,8 +375,8 @@
         RigConfigure(&rig, {UsersRoute()});
         const std::vector<std::string> readers = {FreeAddress()};
         Gateway& reader = RigStartWith(&rig, ReaderSettings(rig, readers, 0));
-        reader.Peers.Spread.Config.StartsMost = 2;
-        reader.Peers.Spread.Config.StartUs = RigLimitUs;
+        reader.Peers.FollowerLimits.Config.StartsMost = 2;
+        reader.Peers.FollowerLimits.Config.FullReadWindowUs = RigLimitUs;
         RigAwait(&rig, reader, 1);
         constexpr size_t follower_count = 6;
         std::vector<const Gateway*> followers;
@@ -390,7 +390,7 @@
         {
             RigAwait(&rig, *follower, 1);
             CPPUNIT_ASSERT_EQUAL(uint64_t{0}, StoreCalls(follower->Store));
-            sent += follower->Store.Following.Sent ? 1 : 0;
+            sent += follower->Store.Following.Redirected ? 1 : 0;
         }
         CPPUNIT_ASSERT_EQUAL(4, sent);
     }
@@ -404,7 +404,7 @@
         const FrozenPeer frozen;
         Gateway& instance = RigStartWith(&rig, FollowerSettings(rig, {frozen.Address}));
         instance.Store.FromInstance.ReadUs = 50 * UsPerMs;    // It is found silent soon,
-        instance.Store.Following.Config.AloneUs = RigLimitUs; // and nothing else leads to the store.
+        instance.Store.Following.Config.StoreFallbackUs = RigLimitUs; // and nothing else leads to the store.
         instance.Requests.Config.FirstPlanUs = RigLimitUs;    // However slow this machine is.
         RigIdle(&rig, 300 * UsPerMs);
         CPPUNIT_ASSERT_EQUAL(uint64_t{0}, StoreCalls(instance.Store));
@@ -520,7 +520,7 @@
         RigAwait(&rig, reader, 5);
         Gateway& follower = RigStartWith(&rig, FollowerSettings(rig, readers));
         RigAwait(&rig, follower, 5);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return FollowsAPeer(follower) && reader.Peers.Waits.size() == 1; }));
+        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return FollowsAPeer(follower) && reader.Peers.HeldRequests.size() == 1; }));
         UsersStoreSetMode(&rig.Store, StoreMode_Deaf); // What goes now is not told.
         UsersStoreRemove(&rig.Store, "servers/t0");
         UsersStoreTarget(&rig.Store, "t9", "svc", "127.0.0.1:1009", "dc-a");
@@ -534,7 +534,7 @@
         };
         CPPUNIT_ASSERT(RigRun(&rig, noticed));
         CPPUNIT_ASSERT(reader.Store.StoreCallsFor[StoreReason_History] >= 1);
-        CPPUNIT_ASSERT(follower.Peers.ChangesFrom < reader.Store.Following.At); // It has read everything once, at its start.
+        CPPUNIT_ASSERT(follower.Peers.ChangesFrom < reader.Store.Following.Revision); // It has read everything once, at its start.
         CPPUNIT_ASSERT_EQUAL(uint64_t{0}, StoreCalls(follower.Store));
     }
 
@@ -548,7 +548,7 @@
         RigAwait(&rig, reader, 0);
         const Gateway& follower = RigStartWith(&rig, FollowerSettings(rig, readers));
         RigAwait(&rig, follower, 0);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return FollowsAPeer(follower) && reader.Peers.Waits.size() == 1; }));
+        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return FollowsAPeer(follower) && reader.Peers.HeldRequests.size() == 1; }));
         RigConfigure(&rig, {UsersRoute()});
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return KnowsPlan(rig, reader); }));
         UsersStoreSetMode(&rig.Store, StoreMode_Refusing);
--- a/tests/returns_test.cpp
+++ b/tests/returns_test.cpp
@@ -57,7 +57,7 @@
         Random random(1);
         Play(&schedule, &random, 0, 5 * UsPerSecond, 1, 0);
         const TimeUs wait = ReturnScheduleTake(&schedule, 5 * UsPerSecond, &random);
-        CPPUNIT_ASSERT(wait >= schedule.LeastUs * 8 / 10 && wait <= schedule.LeastUs * 12 / 10);
+        CPPUNIT_ASSERT(wait >= schedule.MinUs * 8 / 10 && wait <= schedule.MinUs * 12 / 10);
     }
 
     // After a start nothing has been served yet, which says nothing about the targets.
@@ -84,21 +84,21 @@
         ReturnSchedule schedule;
         Random random(1);
         Play(&schedule, &random, 0, 3 * UsPerSecond, 1, 1);
-        Play(&schedule, &random, 3 * UsPerSecond, schedule.MostUs, 1, 0);
-        const TimeUs wait = ReturnScheduleTake(&schedule, 3 * UsPerSecond + schedule.MostUs, &random);
-        CPPUNIT_ASSERT(wait <= schedule.LeastUs * 12 / 10);
+        Play(&schedule, &random, 3 * UsPerSecond, schedule.MaxUs, 1, 0);
+        const TimeUs wait = ReturnScheduleTake(&schedule, 3 * UsPerSecond + schedule.MaxUs, &random);
+        CPPUNIT_ASSERT(wait <= schedule.MinUs * 12 / 10);
     }
 
     // Refused within one step, they return at the rate that the share of the service allows; a fixed time brings them back at once.
     void CallersDoNotReturnTogether()
     {
         ReturnSchedule schedule;
-        schedule.Spread = 0; // What is counted is the schedule's own spacing.
+        schedule.Jitter = 0; // What is counted is the schedule's own spacing.
         Random random(1);
         Play(&schedule, &random, 0, 10 * UsPerSecond, 2, 0); // 20 a second.
         const std::vector<TimeUs> places = Play(&schedule, &random, 10 * UsPerSecond, StepUs, 0, 15);
         CPPUNIT_ASSERT(MostInOneSecond(places) <= 6);
-        schedule.MostUs = schedule.LeastUs;
+        schedule.MaxUs = schedule.MinUs;
         CPPUNIT_ASSERT_EQUAL(15, MostInOneSecond(Play(&schedule, &random, 30 * UsPerSecond, StepUs, 0, 15)));
     }
 
@@ -118,8 +118,8 @@
                     continue;
                 }
                 const TimeUs wait = ReturnScheduleTake(&schedule, now, &dice.Rng);
-                RC_ASSERT(static_cast<double>(wait) >= (1 - schedule.Spread) * static_cast<double>(schedule.LeastUs) - 1);
-                RC_ASSERT(static_cast<double>(wait) <= (1 + schedule.Spread) * static_cast<double>(schedule.MostUs));
+                RC_ASSERT(static_cast<double>(wait) >= (1 - schedule.Jitter) * static_cast<double>(schedule.MinUs) - 1);
+                RC_ASSERT(static_cast<double>(wait) <= (1 + schedule.Jitter) * static_cast<double>(schedule.MaxUs));
             }
         };
         CHECK_PROPERTY("places are between the least and the most, whatever was served and refused", within);
--- a/tests/silent_ends_test.cpp
+++ b/tests/silent_ends_test.cpp
@@ -65,7 +65,7 @@
 
     const Quarantine& Held() const
     {
-        return Instances[0]->Requests.Held;
+        return Instances[0]->Requests.Quarantined;
     }
 
     int Ends() const
@@ -117,7 +117,7 @@
         const RigAnswerPtr answer = fleet.SilenceOne(800);
         fleet.Forget();
         const TargetPool& pool = fleet.Instances[0]->Requests.Services.at("svc").Pool;
-        CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return !fleet.Instances[0]->Requests.Silent.Targets.empty(); }));
+        CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return !fleet.Instances[0]->Requests.Unanswered.Targets.empty(); }));
         CPPUNIT_ASSERT(!answer->Done && pool.Targets.size() == 2);
         CPPUNIT_ASSERT_EQUAL(0, fleet.Ends());
         fleet.Await(answer);
@@ -131,7 +131,7 @@
         RawSend(caller, fmt::format("GET {} HTTP/1.1\r\nHost: a.example\r\nWinchlink-Request-Id: r\r\n\r\n", EndingPath));
         CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return fleet.Silenced() == 1; }));
         RawClose(&caller);
-        CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return !fleet.Instances[0]->Requests.Silent.Attempts.empty(); }));
+        CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return !fleet.Instances[0]->Requests.Unanswered.Attempts.empty(); }));
         fleet.Forget();
         fleet.AwaitEnds(1);
     }
@@ -152,10 +152,10 @@
         fleet.Await(fleet.SilenceOne(ShortMs));
         RigIdle(&fleet.Parts, SpreadUs);
         CPPUNIT_ASSERT_EQUAL(0, fleet.Ends());
-        const SilentEnds& silent = fleet.Instances[0]->Requests.Silent;
+        const SilentEnds& silent = fleet.Instances[0]->Requests.Unanswered;
         SilentEnds later = silent;
         CPPUNIT_ASSERT_EQUAL(size_t{1}, later.Attempts.size());
-        SilentForget(&later, NowUs() + silent.WithinUs);
+        SilentForget(&later, NowUs() + silent.DetectionMaxUs);
         CPPUNIT_ASSERT(later.Attempts.empty());
     }
 
@@ -170,7 +170,7 @@
         }
         CPPUNIT_ASSERT_EQUAL(200, fleet.AskEnding(*fleet.Instances[0]).Answer.Status);
         fleet.Forget();
-        CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return !fleet.Instances[0]->Requests.Silent.Targets.empty(); }));
+        CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return !fleet.Instances[0]->Requests.Unanswered.Targets.empty(); }));
         CPPUNIT_ASSERT_EQUAL(0, fleet.Ends());
     }
 
@@ -204,21 +204,21 @@
         fleet.Parts.Targets[0]->TellsLoad = false;
         CPPUNIT_ASSERT_EQUAL(200, RigAsk(&fleet.Parts, *fleet.Instances[0], RigCall()).Answer.Status);
         fleet.Await(fleet.SilenceOne(ShortMs));
-        CPPUNIT_ASSERT(fleet.Instances[0]->Requests.Silent.Attempts.empty());
+        CPPUNIT_ASSERT(fleet.Instances[0]->Requests.Unanswered.Attempts.empty());
     }
 
     void WhatIsRememberedIsBounded()
     {
         SilentEnds silent;
-        for (size_t n = 0; n < silent.Most + 10; n++)
+        for (size_t n = 0; n < silent.EntriesMax + 10; n++)
         {
             CPPUNIT_ASSERT(!SilentAttemptEnded(&silent, {fmt::format("r{}", n), "t", UsPerSecond}, 2 * UsPerSecond));
             SilentTargetEnded(&silent, fmt::format("u{}", n), 2 * UsPerSecond);
         }
-        CPPUNIT_ASSERT_EQUAL(silent.Most, silent.Attempts.size());
-        CPPUNIT_ASSERT_EQUAL(silent.Most, silent.Targets.size());
-        CPPUNIT_ASSERT_EQUAL(silent.Most, SilentTargetEnded(&silent, "t", UsPerSecond + silent.WithinUs - 1).size());
-        SilentForget(&silent, 2 * UsPerSecond + silent.KeptUs);
+        CPPUNIT_ASSERT_EQUAL(silent.EntriesMax, silent.Attempts.size());
+        CPPUNIT_ASSERT_EQUAL(silent.EntriesMax, silent.Targets.size());
+        CPPUNIT_ASSERT_EQUAL(silent.EntriesMax, SilentTargetEnded(&silent, "t", UsPerSecond + silent.DetectionMaxUs - 1).size());
+        SilentForget(&silent, 2 * UsPerSecond + silent.RetentionUs);
         CPPUNIT_ASSERT_EQUAL(size_t{1}, silent.Targets.size()); // The latest one.
     }
 };
--- a/tests/store_reader_test.cpp
+++ b/tests/store_reader_test.cpp
@@ -35,14 +35,14 @@
         CPPUNIT_ASSERT_EQUAL(uint64_t{12}, plan.value().Version);
         const Route& first = plan.value().Routes[0];
         CPPUNIT_ASSERT_EQUAL(TimeUs{1200000}, first.TimeoutUs);
-        CPPUNIT_ASSERT_EQUAL(TimeUs{300000}, first.AimUs);
-        CPPUNIT_ASSERT(!first.Repeatable);
+        CPPUNIT_ASSERT_EQUAL(TimeUs{300000}, first.LatencyObjectiveUs);
+        CPPUNIT_ASSERT(!first.Retryable);
         CPPUNIT_ASSERT_EQUAL(size_t{1}, first.Parts.size());
         const Route& second = plan.value().Routes[1];
-        CPPUNIT_ASSERT(second.Repeatable);
+        CPPUNIT_ASSERT(second.Retryable);
         CPPUNIT_ASSERT_EQUAL(90, second.Parts[0].Weight);
         CPPUNIT_ASSERT_EQUAL(std::string("u"), second.Parts[1].Service);
-        CPPUNIT_ASSERT_EQUAL(3, second.AttemptsMost);
+        CPPUNIT_ASSERT_EQUAL(3, second.AttemptsMax);
         CPPUNIT_ASSERT_EQUAL(std::string("/health"), plan.value().Services[0].HealthPath);
         CPPUNIT_ASSERT_EQUAL(TimeUs{15000000}, plan.value().Limits.IdleTimeoutUs);
     }
@@ -56,7 +56,7 @@
             text.replace(text.find("unsafe"), std::string("unsafe").size(), type);
             const Result<RoutePlan> plan = PlatformReadPlan(text);
             CPPUNIT_ASSERT_MESSAGE(type, bool(plan));
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(type, repeatable, plan.value().Routes[0].Repeatable);
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(type, repeatable, plan.value().Routes[0].Retryable);
         }
     }
 
@@ -108,7 +108,7 @@
         CPPUNIT_ASSERT(bool(ready));
         CPPUNIT_ASSERT_EQUAL(std::string("i-1"), ready.value().Id);
         CPPUNIT_ASSERT_EQUAL(std::string("z"), ready.value().DataCentre);
-        CPPUNIT_ASSERT_EQUAL(TimeUs{2500000}, ready.value().WarmUntilUs);
+        CPPUNIT_ASSERT_EQUAL(TimeUs{2500000}, ready.value().ColdUntilUs);
         CPPUNIT_ASSERT_EQUAL(Presence_Ready, ready.value().Presence);
         item.Value.replace(item.Value.find("\"ready\""), 7, "\"draining\"");
         CPPUNIT_ASSERT_EQUAL(Presence_Leaving, PlatformReadTarget(item, 0).value().Presence);
@@ -127,7 +127,7 @@
             R"({"items":[{"privateKey":"my/leader","value":"bm9kZS0x","revision":412,"made":412,"lease":0}],"more":true,"at":530})");
         CPPUNIT_ASSERT(bool(page));
         CPPUNIT_ASSERT(page.value().More);
-        CPPUNIT_ASSERT_EQUAL(uint64_t{530}, page.value().At);
+        CPPUNIT_ASSERT_EQUAL(uint64_t{530}, page.value().Revision);
         CPPUNIT_ASSERT_EQUAL(std::string("node-1"), page.value().Items[0].Value);
         const Result<StorePage> changes =
             dialect.ReadChanges(R"({"events":[{"privateKey":"my/old","revision":413,"gone":true}],"at":413})");
@@ -144,7 +144,7 @@
             CPPUNIT_ASSERT_MESSAGE(unreadable, read.has_value() && read.value().Items.size() == 1);
             CPPUNIT_ASSERT_EQUAL_MESSAGE(unreadable, uint64_t{7}, read.value().Items[0].Revision);
             CPPUNIT_ASSERT_MESSAGE(unreadable, read.value().Items[0].Value.empty() && !read.value().Items[0].Gone);
-            const StoreNews news = PlatformAdapter().Read({read.value().Items, read.value().At, true, 0});
+            const StoreNews news = PlatformAdapter().Read({read.value().Items, read.value().Revision, true, 0});
             CPPUNIT_ASSERT_MESSAGE(unreadable, news.Invalid.size() == 1 && news.Targets.size() == 1 && news.Targets[0].Gone);
         }
         CPPUNIT_ASSERT_EQUAL(std::string("/kv-watch?pathPrefix=&after=7&waitMs=5000"), dialect.ChangesTarget(7, 5 * UsPerSecond));
--- a/tests/table_adapter_test.cpp
+++ b/tests/table_adapter_test.cpp
@@ -18,7 +18,7 @@
     TableRig()
     {
         Store.SpeaksTable = true;
-        Row.RepeatMethods = {"GET"};
+        Row.RetryMethods = {"GET"};
         Row.HealthPath = "/health";
     }
 };
@@ -180,7 +180,7 @@
         UsersStorePut(&rig.Store, "loans", R"({"name": "loans", "pathPrefix": "loans", "targets": []})");
         UsersStorePutRow(&rig.Store, other); // Good by itself, but part of a table that is not.
         // What has been learnt is read a moment later.
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Store.Following.At == rig.Store.Revision && !instance.Invalid.empty(); }));
+        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Store.Following.Revision == rig.Store.Revision && !instance.Invalid.empty(); }));
         CPPUNIT_ASSERT(Holds(instance, good));
         CPPUNIT_ASSERT_EQUAL(200, Ask(&rig, instance).Status);
         Publish(&rig);
@@ -198,7 +198,7 @@
         ServiceRow other = MakeRow("other");
         other.PathPrefix = rig.Row.PathPrefix;
         UsersStorePutRow(&rig.Store, other);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Store.Following.At == rig.Store.Revision; }));
+        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Store.Following.Revision == rig.Store.Revision; }));
         CPPUNIT_ASSERT(Holds(instance, good));
         UsersStoreRemove(&rig.Store, "other");
         AwaitRevision(&rig, instance);
--- a/tests/table_test.cpp
+++ b/tests/table_test.cpp
@@ -189,7 +189,7 @@
         table.Rows = {MakeRow("loans"), MakeRow("shop")};
         table.Rows[0].Class = Class_Background;
         table.Rows[0].DeadlineMs = 800;
-        table.Rows[0].RepeatMethods = {"GET"};
+        table.Rows[0].RetryMethods = {"GET"};
         table.Rows[0].RequestsPerInstance = 4;
         table.Rows[0].HealthPath = "/health";
         table.Rows[1].Host = "shop.example";
@@ -200,10 +200,10 @@
         CPPUNIT_ASSERT(loans != nullptr);
         CPPUNIT_ASSERT_EQUAL(std::string("loans"), loans->Parts.at(0).Service);
         CPPUNIT_ASSERT_EQUAL(800 * UsPerMs, loans->TimeoutUs);
-        CPPUNIT_ASSERT_EQUAL(400 * UsPerMs, loans->AimUs);
+        CPPUNIT_ASSERT_EQUAL(400 * UsPerMs, loans->LatencyObjectiveUs);
         CPPUNIT_ASSERT_EQUAL(int(Class_Background), loans->Priority);
         CPPUNIT_ASSERT(MayRepeat(*loans, "GET") && !MayRepeat(*loans, "POST"));
-        CPPUNIT_ASSERT_EQUAL(4, FindService(plan, "loans")->RequestsMost);
+        CPPUNIT_ASSERT_EQUAL(4, FindService(plan, "loans")->RequestsMax);
         CPPUNIT_ASSERT_EQUAL(std::string("/health"), FindService(plan, "loans")->HealthPath);
         CPPUNIT_ASSERT_EQUAL(std::string("shop"), FindRoute(plan, "shop.example", "/loans/7")->Name);
     }
--- a/tests/target_backoff_test.cpp
+++ b/tests/target_backoff_test.cpp
@@ -143,7 +143,7 @@
         RigAsk(&rig, instance, RigCall());
         CheckRefused(&rig, instance, 0.9);
         UsersStoreTarget(&rig.Store, "t", "svc", target.Address, "dc-a", false, 0, 2000);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.Directory.Targets.at("t").Life == 2000; }));
+        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.Directory.Targets.at("t").Incarnation == 2000; }));
         CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status);
     }
 
@@ -182,7 +182,7 @@
             default:
                 for (PoolTarget* target : {PoolNext(&pool, {}, dice->OneIn(2), now), PoolNextUnasked(&pool, {}, false, now, &dice->Rng)})
                 {
-                    if (target != nullptr && now < wants_nothing_until[TargetLife(target->Id, target->Life)])
+                    if (target != nullptr && now < wants_nothing_until[TargetLife(target->Id, target->Incarnation)])
                     {
                         return false;
                     }
@@ -199,7 +199,7 @@
         {
             DirectoryTarget target;
             target.Id = "t" + std::to_string(n);
-            target.Life = lives[n];
+            target.Incarnation = lives[n];
             target.Slots = 3;
             target.Presence = dice->OneIn(5) ? Presence_Leaving : dice->OneIn(5) ? Presence_Vanished : Presence_Ready;
             listed.push_back(target);
--- a/tests/target_limit_test.cpp
+++ b/tests/target_limit_test.cpp
@@ -157,7 +157,7 @@
         other.Script.assign(1000, TargetAct_Shed);
         RigConfigure(&rig, {UsersRoute()});
         Gateway& instance = RigInstance(&rig, 2);
-        instance.Requests.Config.RepeatShare = 10;
+        instance.Requests.Config.RetryShare = 10;
         ForwarderFollow(&instance.Requests);
         for (int n = 0; n < 100; n++)
         {
@@ -174,7 +174,7 @@
         RigConfigure(&rig, {UsersRoute()});
         const Gateway& instance = RigInstance(&rig, 1);
         RigAsk(&rig, instance, RigCall());
-        CPPUNIT_ASSERT_EQUAL(size_t{1}, instance.Requests.TargetLimits.Named.size());
+        CPPUNIT_ASSERT_EQUAL(size_t{1}, instance.Requests.TargetLimits.Limits.size());
         target.Says.clear();
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return RigAsk(&rig, instance, RigCall()).Answer.Status == 200; }));
         for (int n = 0; n < 50; n++)
@@ -195,7 +195,7 @@
         CPPUNIT_ASSERT_EQUAL(503, RigAsk(&rig, instance, RigCall()).Answer.Status);
         target.Says.clear();
         UsersStoreTarget(&rig.Store, "t1", "svc", target.Address, "dc-a", false, 0, 2000);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.Directory.Targets.at("t1").Life == 2000; }));
+        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.Directory.Targets.at("t1").Incarnation == 2000; }));
         CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status);
     }
 
@@ -206,7 +206,7 @@
         RigConfigure(&rig, {UsersRoute()});
         const std::vector<const Gateway*> fleet = StartFleet(&rig, 4, 1);
         RigAsk(&rig, *fleet.back(), RigCall());
-        const uint64_t id = TargetLifeId("t1", fleet[0]->Requests.Directory.Targets.at("t1").Life);
+        const uint64_t id = TargetLifeId("t1", fleet[0]->Requests.Directory.Targets.at("t1").Incarnation);
         const auto all_know = [&]()
         {
             return std::all_of(fleet.begin(), fleet.end(),
--- a/tests/target_lives_test.cpp
+++ b/tests/target_lives_test.cpp
@@ -42,7 +42,7 @@
 
     void Await(uint64_t life)
     {
-        CPPUNIT_ASSERT(RigRun(&Parts, [&]() { return Known() != nullptr && Known()->Life == life; }));
+        CPPUNIT_ASSERT(RigRun(&Parts, [&]() { return Known() != nullptr && Known()->Incarnation == life; }));
     }
 };
 
@@ -64,7 +64,7 @@
     void NothingIsBelievedOfTheFormerStart()
     {
         LivesSetting setting;
-        const uint64_t entry = setting.Known()->Entry;
+        const uint64_t entry = setting.Known()->Generation;
         for (int n = 0; n < 5; n++)
         {
             PoolFailed(PoolConfig(), setting.Known(), NowUs());
@@ -74,10 +74,10 @@
         setting.Start(2000);
         setting.Await(2000);
         const PoolTarget* known = setting.Known();
-        CPPUNIT_ASSERT(known->Entry != entry);
+        CPPUNIT_ASSERT(known->Generation != entry);
         CPPUNIT_ASSERT_EQUAL(0, known->FailuresInRow);
         CPPUNIT_ASSERT_EQUAL(TimeUs{0}, known->AvoidUntilUs);
-        CPPUNIT_ASSERT(known->WarmUntilUs <= NowUs());
+        CPPUNIT_ASSERT(known->ColdUntilUs <= NowUs());
         CPPUNIT_ASSERT_EQUAL(200, RigAsk(&setting.Parts, *setting.Instance, RigCall()).Answer.Status);
     }
 
@@ -108,7 +108,7 @@
     void AnAnswerToAQuestionOfBeforeSaysNothing()
     {
         LivesSetting setting;
-        setting.Instance->Requests.Services["svc"].Asks.LeastUs = UsPerSecond;
+        setting.Instance->Requests.Services["svc"].ProbeTimeout.MinUs = UsPerSecond;
         setting.Latest().Mute = true;
         const RigAnswerPtr answer = RigSend(&setting.Parts, *setting.Instance, RigCall());
         CPPUNIT_ASSERT(RigRun(&setting.Parts, [&]() { return setting.Latest().HealthAsked > 0; }));
@@ -117,7 +117,7 @@
         setting.Await(2000);
         UsersTargetStop(&former); // Only now does the question fail.
         CPPUNIT_ASSERT(RigRun(&setting.Parts, [&]() { return answer->Done; }));
-        CPPUNIT_ASSERT_EQUAL(TimeUs{0}, setting.Known()->CarefulUntilUs); // As after a failure, also where a success came since.
+        CPPUNIT_ASSERT_EQUAL(TimeUs{0}, setting.Known()->AvoidUnsafeUntilUs); // As after a failure, also where a success came since.
     }
 
     void ARequestOfBeforeIsNotCounted()
@@ -164,17 +164,17 @@
         TargetDirectory directory;
         DirectoryTarget former;
         former.Id = "t1";
-        former.Life = 3000;
+        former.Incarnation = 3000;
         former.Revision = 5;
         DirectoryTarget again = former;
-        again.Life = 2000; // Its clock is behind.
+        again.Incarnation = 2000; // Its clock is behind.
         again.Revision = 8;
         DirectoryPut(&directory, former, 0);
         DirectoryPut(&directory, again, 0);
         former.Revision = 7;
         DirectoryPut(&directory, former, 0);
         DirectoryRemove(&directory, "t1", 7, 0);
-        CPPUNIT_ASSERT_EQUAL(uint64_t{2000}, directory.Targets.at("t1").Life);
+        CPPUNIT_ASSERT_EQUAL(uint64_t{2000}, directory.Targets.at("t1").Incarnation);
         CPPUNIT_ASSERT_EQUAL(Presence_Ready, directory.Targets.at("t1").Presence);
     }
 
@@ -198,8 +198,8 @@
         const UsersTarget& again = setting.Start(2000, address);
         CPPUNIT_ASSERT(RigRun(&setting.Parts, [&]() { return answer->Done; }));
         CPPUNIT_ASSERT_EQUAL(502, answer->Answer.Status);
-        CPPUNIT_ASSERT_EQUAL(uint64_t{1000}, setting.Known()->Life);
-        RigIdle(&setting.Parts, PoolConfig().CarefulUs); // Until unsafe requests are sent there again.
+        CPPUNIT_ASSERT_EQUAL(uint64_t{1000}, setting.Known()->Incarnation);
+        RigIdle(&setting.Parts, PoolConfig().AvoidUnsafeUs); // Until unsafe requests are sent there again.
         CPPUNIT_ASSERT_EQUAL(200, RigAsk(&setting.Parts, *setting.Instance, call).Answer.Status);
         CPPUNIT_ASSERT_EQUAL(0, UsersTargetRuns(again, answer->Id));
         UsersStoreSetMode(&setting.Parts.Store, StoreMode_Good);
@@ -242,7 +242,7 @@
         RigAwait(&setting.Parts, follower, 1);
         const auto life_at = [](const Gateway& gateway)
         {
-            return gateway.Requests.Directory.Targets.at("t1").Life;
+            return gateway.Requests.Directory.Targets.at("t1").Incarnation;
         };
         ListenerStop(&reader.Peers.Server);
         setting.Start(700);
--- a/tests/target_signals_test.cpp
+++ b/tests/target_signals_test.cpp
@@ -81,9 +81,9 @@
 
     void LeavesWhereItSaysSo()
     {
-        CPPUNIT_ASSERT(Read(200, {{"x-winchlink-leaving", "1"}}).Leaving);
-        CPPUNIT_ASSERT(!Read(200, {{"X-Winchlink-Leaving", "0"}}).Leaving);
-        CPPUNIT_ASSERT(!Read(200, {}).Leaving);
+        CPPUNIT_ASSERT(Read(200, {{"x-winchlink-leaving", "1"}}).Draining);
+        CPPUNIT_ASSERT(!Read(200, {{"X-Winchlink-Leaving", "0"}}).Draining);
+        CPPUNIT_ASSERT(!Read(200, {}).Draining);
     }
 
     void AnyValueIsReadOrPassedOver()
@@ -190,7 +190,7 @@
         CPPUNIT_ASSERT_EQUAL(503, RigAsk(&rig, instance, RigCall()).Answer.Status);
         target.Says.clear();
         UsersStoreTarget(&rig.Store, "t", "svc", target.Address, "dc-a", false, 0, 2000);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.Directory.Targets.at("t").Life == 2000; }));
+        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.Directory.Targets.at("t").Incarnation == 2000; }));
         CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status);
     }
 
@@ -203,7 +203,7 @@
         target.Ill = true;
         target.ColdMs = 5000;
         RigAsk(&rig, instance, RigCall());
-        CPPUNIT_ASSERT(instance.Requests.Services.at("svc").Pool.Targets.front().WarmUntilUs > 0);
+        CPPUNIT_ASSERT(instance.Requests.Services.at("svc").Pool.Targets.front().ColdUntilUs > 0);
     }
 
     // A planned end says nothing against the requests that were there.
--- a/tests/two_slot_load_test.cpp
+++ b/tests/two_slot_load_test.cpp
@@ -34,7 +34,7 @@
     double RequestsPerSecond = 125;
     int Targets = TargetCount;
     int Slots = 2;
-    double SettleCost = PoolConfig().SettleCost;
+    double SettleCost = PoolConfig().AcceptableCost;
 };
 
 struct TwoSlotResult
@@ -130,7 +130,7 @@
     size_t instance = 0;
     for (TargetPool& pool : model.Pools)
     {
-        pool.Config.SettleCost = plan.SettleCost;
+        pool.Config.AcceptableCost = plan.SettleCost;
         pool.NearlyFullFactor = learnt;
         PoolFollow(&pool, all, fmt::format("dc{}", instance++ % 4), &model.Rng);
     }
