--- a/winchlink.h
+++ b/winchlink.h
@@ -197,10 +197,10 @@
     int ConnectionsPerInstance = 16;        // Maximum connections from one instance to one target.
     int RequestsPerInstance = 0;            // Maximum requests of the row in progress at one instance; 0: no limit.
     int DeadlineMs = 1000;                  // Deadline of requests that set none.
-    int AimMs = 0;                          // Latency objective; 0: half of DeadlineMs.
-    int AttemptsMost = 3;                   // Maximum attempts of one request.
+    int LatencyObjectiveMs = 0;                          // Latency objective; 0: half of DeadlineMs.
+    int AttemptsMax = 3;                   // Maximum attempts of one request.
     std::string HealthPath;                 // Path of the probe, a GET request; empty: targets are not probed.
-    std::vector<std::string> RepeatMethods; // Methods of requests that may be retried.
+    std::vector<std::string> RetryMethods; // Methods of requests that may be retried.
     std::vector<TargetRow> Targets;         // At least one.
 };
 
@@ -266,7 +266,7 @@
 
 struct Customers
 {
-    bool Required = false; // Requests need a key, except on public routes.
+    bool KeyRequired = false; // Requests need a key, except on public routes.
     std::vector<Customer> List;
     std::unordered_map<KeyHash, size_t, KeyHashHasher> ByKey; // Index into List.
     std::unordered_map<uint64_t, size_t> ById;                // Index into List.
@@ -298,12 +298,12 @@
     std::string Host;                       // Host header of its requests; empty: any host without a matching route of its own.
     std::string PathPrefix;                 // Matches this path and the paths below it.
     std::vector<RoutePart> Parts;           // At least one.
-    bool Repeatable = false;                // Requests of any method may be retried.
-    std::vector<std::string> RepeatMethods; // If not Repeatable: methods of requests that may be retried.
+    bool Retryable = false;                // Requests of any method may be retried.
+    std::vector<std::string> RetryMethods; // If not Repeatable: methods of requests that may be retried.
     TimeUs TimeoutUs = 0;                   // Time within which the caller gets an answer, if only an error.
-    TimeUs AimUs = 0;                       // Latency objective.
+    TimeUs LatencyObjectiveUs = 0;                       // Latency objective.
     int Priority = 0;                       // 0 is the highest priority.
-    int AttemptsMost = 1;                   // Maximum attempts of one request.
+    int AttemptsMax = 1;                   // Maximum attempts of one request.
     bool Public = false;                    // Its requests need no customer key.
 };
 
@@ -311,8 +311,8 @@
 {
     std::string Name;        // Unique in the plan.
     std::string HealthPath;  // Path of the probe, a GET request; empty: targets are not probed.
-    int ConnectionsMost = 0; // Maximum connections to one target; 0: no limit.
-    int RequestsMost = 0;    // Maximum requests in progress at this instance; 0: no limit.
+    int ConnectionsMax = 0; // Maximum connections to one target; 0: no limit.
+    int RequestsMax = 0;    // Maximum requests in progress at this instance; 0: no limit.
     double ColdPerS = 0;     // Maximum requests per second, from all instances, to a cold target; 0: no limit.
     TimeUs ColdUs = 0;       // Length of a target's warm-up, during which it is cold.
 };
@@ -320,8 +320,8 @@
 // Limits of what callers may send.
 struct CallerLimits
 {
-    size_t HeaderBytesMost = 16 * KiB;
-    size_t BodyBytesMost = 64 * MiB;
+    size_t HeaderBytesMax = 16 * KiB;
+    size_t BodyBytesMax = 64 * MiB;
     TimeUs HeaderTimeoutUs = 3 * UsPerSecond; // To receive all headers.
     TimeUs IdleTimeoutUs = 15 * UsPerSecond;  // Between two requests on a connection.
 };
@@ -378,14 +378,14 @@
 struct DirectoryTarget
 {
     std::string Id;         // Unique in the directory.
-    uint64_t Life = 0;      // Incarnation: differs between two starts under the same id. 0 if each start has an id of its own.
+    uint64_t Incarnation = 0;      // Incarnation: differs between two starts under the same id. 0 if each start has an id of its own.
     std::string Service;    // Name of the service it belongs to.
     std::string Address;    // "IP:port"; may be reused by another target later.
     std::string DataCentre; // Where it runs.
     int Slots = 1;          // Requests it runs concurrently.
     int Weight = 1;         // Share of requests relative to other targets.
     Presence_ Presence = Presence_Ready;
-    TimeUs WarmUntilUs = 0; // End of its warm-up; it is slower until then.
+    TimeUs ColdUntilUs = 0; // End of its warm-up; it is slower until then.
     TimeUs ForgetUs = 0;    // When a Presence_Vanished entry is removed.
     uint64_t Revision = 0;  // Store revision of the entry's last change.
     bool Evacuated = false; // Its data centre is evacuated: no new requests. Set by the directory; not part of the entry.
@@ -394,7 +394,7 @@
 struct DirectoryConfig
 {
     TimeUs VanishedUs = 1300 * UsPerMs;   // How long a missing entry is kept. Shorter than the time targets keep serving after removal.
-    TimeUs ReturnUs = 2200 * UsPerMs;     // Time that targets need to restore lost entries once the store has recovered.
+    TimeUs RecoveryUs = 2200 * UsPerMs;     // Time that targets need to restore lost entries once the store has recovered.
     TimeUs TroubleMemoryUs = UsPerSecond; // Entries missing within ReturnUs plus this after the recovery may have been lost by the store.
 };
 
@@ -411,11 +411,11 @@
     std::map<std::string, DirectoryTarget> Targets; // By id.
     std::map<std::string, Evacuation> Evacuations;  // By data centre. Lifted ones are kept so that older revisions are ignored.
     std::set<std::string> ChangedServices;          // Services with changes since the last DirectoryTakeChanged().
-    std::vector<std::string> Ended;                 // Incarnations that crashed since the last DirectoryTakeEnded(); see TargetLife().
+    std::vector<std::string> Crashed;                 // Incarnations that crashed since the last DirectoryTakeEnded(); see TargetLife().
     uint64_t Changes = 0;                           // Incremented by each change.
-    TimeUs TroubleUs = 0;                           // Time of the store's last failure; 0 if none.
+    TimeUs StoreFailedUs = 0;                           // Time of the store's last failure; 0 if none.
     bool InTrouble = false;                         // The store has failed and not answered since.
-    TimeUs ReturnedUs = 0;                          // Time of the store's last recovery; 0 if none.
+    TimeUs StoreRecoveredUs = 0;                          // Time of the store's last recovery; 0 if none.
 };
 
 using TargetList = std::vector<const DirectoryTarget*>; // Owned by the directory; valid until its next change.
@@ -484,11 +484,11 @@
 // answered in time, so that on average a share LateShare of the probes times out.
 struct AskTime
 {
-    TimeUs LeastUs = 40 * UsPerMs; // Lower bound, and the initial value.
-    TimeUs MostUs = 160 * UsPerMs; // Upper bound: the longest time that an unresponsive target delays a request.
+    TimeUs MinUs = 40 * UsPerMs; // Lower bound, and the initial value.
+    TimeUs MaxUs = 160 * UsPerMs; // Upper bound: the longest time that an unresponsive target delays a request.
     double LateShare = 0.005;      // Share of the probes that may time out.
     double Growth = 1.5;           // Factor after a probe that timed out.
-    double NowUs = 0;              // Current timeout; 0 before the first probe.
+    double CurrentUs = 0;              // Current timeout; 0 before the first probe.
 };
 
 TimeUs AskTimeNow(const AskTime& time);
@@ -501,31 +501,31 @@
 struct PoolTarget
 {
     std::string Id;
-    uint64_t Life = 0;   // Incarnation, from the directory.
-    uint64_t LifeId = 0; // Hash of Id and Life, see TargetLifeId().
+    uint64_t Incarnation = 0;   // Incarnation, from the directory.
+    uint64_t IncarnationId = 0; // Hash of Id and Life, see TargetLifeId().
     std::string Address;
     bool Near = false;         // In the instance's data centre.
-    bool Doubtful = false;     // Its directory entry is missing.
+    bool EntryMissing = false;     // Its directory entry is missing.
     int Slots = 1;             // Requests that it can process concurrently, from the directory.
     int Weight = 1;            // From the directory.
-    TimeUs WarmUntilUs = 0;    // End of its warm-up, during which it is cold and slower; 0 if none.
+    TimeUs ColdUntilUs = 0;    // End of its warm-up, during which it is cold and slower; 0 if none.
     int ColdSent = 0;          // Requests that this instance sent to it since the start of the warm-up.
     bool New = false;          // Added while the pool was in use, and this instance has not sent it a request yet.
     int64_t Order = 0;         // Among equals, the lowest is probed first, so that an instance reuses connections to the same targets.
-    uint64_t Entry = 0;        // Generation of the pool entry; differs after the target was removed and added again.
+    uint64_t Generation = 0;        // Generation of the pool entry; differs after the target was removed and added again.
     int InFlight = 0;          // Requests of this instance in progress there, sent through this entry.
-    int Since = 0;             // Requests that this instance sent to it since Report.
+    int SentSinceReport = 0;             // Requests that this instance sent to it since Report.
     LoadReport Report;         // The last one.
     TimeUs ReportUs = 0;       // Time of the last report; 0 if none.
     int FailuresInRow = 0;     // Consecutive failed requests and probes.
     TimeUs AvoidUntilUs = 0;   // After failures: used only as a last resort until then.
-    TimeUs CarefulUntilUs = 0; // After failures: ranked lower until then for requests that can't be retried.
+    TimeUs AvoidUnsafeUntilUs = 0; // After failures: ranked lower until then for requests that can't be retried.
     TimeUs BackoffUntilUs = 0; // End of the back-off that the target requested, see PoolBackOff().
 
     // Managed by the pool.
     int Group = 0;       // Index into PoolIndex::Groups.
     bool Marked = false; // In PoolIndex::Marked.
-    uint64_t Listed = 0; // Value of TargetPool::Follows at the last PoolFollow() that listed it.
+    uint64_t LastSync = 0; // Value of TargetPool::Follows at the last PoolFollow() that listed it.
 };
 
 inline constexpr int PoolGroupCount = 4; // In the own or another data centre, with and without a request making the target nearly full.
@@ -548,18 +548,18 @@
     double NearlyFullShare = 0.8;       // A target with more than this share of its slots in use is nearly full.
     double NearlyFullGain = 0.05;       // Minimum weight of a new sample in the estimate of NearlyFullFactor.
     int NearlyFullPrior = 3;            // Number of samples that the initial estimate counts as.
-    double NearlyFullMost = 3.0;        // Upper bound of one sample.
-    double WarmFactor = 2.0;            // Cost factor of cold targets.
+    double NearlyFullFactorMax = 3.0;        // Upper bound of one sample.
+    double ColdFactor = 2.0;            // Cost factor of cold targets.
     double ColdPerS = 0;                // See ServiceInfo.
     TimeUs ColdUs = 0;                  // See ServiceInfo.
     double ShareGain = 0.02;            // Weight of a new report in the estimate of this instance's share of the work.
     double SharePrior = 10;             // Requests added to the estimated total, so that the share is small while little is known.
     double GoodCost = 1.25;             // A target with at most this cost is taken without further probes.
-    double SettleCost = 2.0;            // Maximum cost of a target taken when no good one was found, see PoolSettles().
-    TimeUs ReportUs = 150 * UsPerMs;    // Age at which a report is stale.
+    double AcceptableCost = 2.0;            // Maximum cost of a target taken when no good one was found, see PoolSettles().
+    TimeUs ReportMaxAgeUs = 150 * UsPerMs;    // Age at which a report is stale.
     TimeUs AvoidUs = 200 * UsPerMs;     // Avoidance period after the first failure; doubles with each consecutive one.
     int AvoidDoublings = 4;             // Maximum number of doublings.
-    TimeUs CarefulUs = 3 * UsPerSecond; // Time after a failure in which requests that can't be retried prefer other targets.
+    TimeUs AvoidUnsafeUs = 3 * UsPerSecond; // Time after a failure in which requests that can't be retried prefer other targets.
 };
 
 struct TargetPool
@@ -567,16 +567,16 @@
     PoolConfig Config;
     std::list<PoolTarget> Targets; // Only PoolFollow() adds and removes targets.
     PoolIndex Index;               // Over Targets.
-    uint64_t Follows = 0;          // Calls of PoolFollow().
+    uint64_t SyncCount = 0;          // Calls of PoolFollow().
     bool InUse = false;            // A request was sent; targets added from now on are new.
-    bool TellsLoad = true;         // Targets of this service report their load; false once one has answered without a report.
+    bool ReportsLoad = true;         // Targets of this service report their load; false once one has answered without a report.
     double NearlyFullFactor = 1.4; // Estimated slowdown of a nearly full target.
-    int NearlyFullSeen = 0;        // Samples in NearlyFullFactor.
+    int NearlyFullSamples = 0;        // Samples in NearlyFullFactor.
     double ReportedWork = 0;       // Moving average of the requests at one target, from load reports.
     double OwnWork = 0;            // Moving average of this instance's requests in progress, sampled at the same times.
     std::unordered_map<uint64_t, TimeUs> Backoffs; // End of the back-off by LifeId, also of targets that are not in the pool.
     int Evacuated = 0;                             // Targets left out because their data centre is evacuated.
-    uint64_t LastEntry = 0;                        // Last value of PoolTarget::Entry.
+    uint64_t LastGeneration = 0;                        // Last value of PoolTarget::Entry.
 
     TargetPool() = default;
     TargetPool(TargetPool&&) = default;
@@ -666,7 +666,7 @@
     {
         int64_t Number = -1; // Time divided by the length of a step; -1: unused.
         int Requests = 0;
-        int Repeats = 0;
+        int Retries = 0;
     };
 
     double Share = 0.2;                   // Retries allowed per request.
@@ -702,11 +702,11 @@
 
 struct QuarantineConfig
 {
-    int EndsMost = 3;                              // Number of crashes at which a request is quarantined.
-    TimeUs HoldUs = 600 * UsPerSecond;             // Initial quarantine time after the last crash; doubles with each crash after a release.
-    TimeUs HoldMostUs = 24 * 3600LL * UsPerSecond; // Upper bound of the quarantine time.
-    size_t RequestsMost = 512;                     // Requests kept; those with the fewest crashes are removed first.
-    size_t EndsKept = 64;                          // Crashes kept for each request.
+    int CrashThreshold = 3;                              // Number of crashes at which a request is quarantined.
+    TimeUs QuarantineUs = 600 * UsPerSecond;             // Initial quarantine time after the last crash; doubles with each crash after a release.
+    TimeUs QuarantineMaxUs = 24 * 3600LL * UsPerSecond; // Upper bound of the quarantine time.
+    size_t RequestsMax = 512;                     // Requests kept; those with the fewest crashes are removed first.
+    size_t CrashesMax = 64;                          // Crashes kept for each request.
 };
 
 // A crash of a target while the request was in progress there.
@@ -718,8 +718,8 @@
 
 struct SuspectRequest
 {
-    std::map<std::string, TargetEnd> Ends; // By TargetLife().
-    TimeUs HeldUntilUs = 0;                // End of the quarantine; 0 if not quarantined.
+    std::map<std::string, TargetEnd> Crashes; // By TargetLife().
+    TimeUs QuarantinedUntilUs = 0;                // End of the quarantine; 0 if not quarantined.
 };
 
 // A crash as instances exchange it.
@@ -786,14 +786,14 @@
 struct SilentTarget
 {
     std::string Target;  // See TargetLife().
-    TimeUs LearntUs = 0; // Time at which its crash was detected.
+    TimeUs DetectedUs = 0; // Time at which its crash was detected.
 };
 
 struct SilentEnds
 {
-    TimeUs WithinUs = 8 * UsPerSecond;  // Longest time from an attempt's start to the detection of a crash during it.
-    TimeUs KeptUs = 60 * UsPerSecond;   // Time for which a crashed target is kept, to be matched with attempts that end later.
-    size_t Most = 512;                  // Maximum number of attempts, and of targets; the oldest are removed first.
+    TimeUs DetectionMaxUs = 8 * UsPerSecond;  // Longest time from an attempt's start to the detection of a crash during it.
+    TimeUs RetentionUs = 60 * UsPerSecond;   // Time for which a crashed target is kept, to be matched with attempts that end later.
+    size_t EntriesMax = 512;                  // Maximum number of attempts, and of targets; the oldest are removed first.
     std::deque<SilentAttempt> Attempts; // In the order in which they ended.
     std::deque<SilentTarget> Targets;   // In the order of detection.
 };
@@ -821,10 +821,10 @@
 // spread evenly over the instances.
 struct ReturnSchedule
 {
-    TimeUs LeastUs = 300 * UsPerMs;         // Minimum delay of a retry, before jitter: about the duration of one request.
-    TimeUs MostUs = 5 * UsPerSecond;        // Maximum delay of a retry, before jitter.
+    TimeUs MinUs = 300 * UsPerMs;         // Minimum delay of a retry, before jitter: about the duration of one request.
+    TimeUs MaxUs = 5 * UsPerSecond;        // Maximum delay of a retry, before jitter.
     double Share = 0.25;                    // Part of the service rate for retries; the rest is for new requests.
-    double Spread = 0.2;                    // Jitter, as a part of the delay.
+    double Jitter = 0.2;                    // Jitter, as a part of the delay.
     TimeUs ServedDecayUs = 2 * UsPerSecond; // Time constant of the exponential decay of Served.
     double Served = 10;                     // Served requests, decayed; starts above 0 so that a start is not taken for an overload.
     TimeUs ServedUs = 0;                    // When Served was last updated.
@@ -899,14 +899,14 @@
 {
     double PerS = 0;      // Requests a second, from all instances together.
     bool InForce = false; // False: the latest answer named no limit.
-    TimeUs HeardUs = 0;   // When the answer was received.
+    TimeUs ReceivedUs = 0;   // When the answer was received.
 };
 
 // Request counts of one customer or target.
 struct QuotaCount
 {
     double Admitted = 0;     // Requests in the last window.
-    double Leaving = 0;      // Admitted requests a second in the oldest second of the window, which expire next.
+    double Expiring = 0;      // Admitted requests a second in the oldest second of the window, which expire next.
     double Wanted = 0;       // Requests a second, admitted or not, over the last second.
     double RecentWanted = 0; // The same in the current or previous step, whichever has more; detects sudden increases.
 };
@@ -925,14 +925,14 @@
     static constexpr int Steps = 20;              // Parts of the window.
     std::array<QuotaStep, Steps + 4> Counts = {}; // Ring, by step number.
     double Credit = 0;                            // Sum of shares; a request is admitted when it reaches 1.
-    double Alone = 0;                             // Allowance: requests that may be admitted without a decision.
-    TimeUs AloneUs = 0;                           // When the allowance was last filled; 0: never.
+    double Allowance = 0;                             // Allowance: requests that may be admitted without a decision.
+    TimeUs AllowanceUs = 0;                           // When the allowance was last filled; 0: never.
     TimeUs AllowanceChargedUs = 0;                // Time of the decision since which admitted requests were deducted from the allowance.
 };
 
 struct QuotaReportEntry
 {
-    uint64_t Customer = 0; // Id of a customer, or of a target's incarnation.
+    uint64_t Id = 0; // Id of a customer, or of a target's incarnation.
     QuotaCount Count;
 };
 
@@ -955,26 +955,26 @@
 // One message of a report; a report that is too large for one packet is sent as several.
 struct QuotaReport
 {
-    QuotaFleetSize Most;
+    QuotaFleetSize FleetSize;
     double Members = 0; // Instances included in the sums.
     double Covered = 0; // Sum over these instances of the part of the window, 0 to 1, that each has been up for.
     std::vector<QuotaReportEntry> Entries;
-    std::vector<TargetLimitUpdate> Named;
+    std::vector<TargetLimitUpdate> Limits;
 };
 
 struct QuotaShare
 {
-    uint64_t Customer = 0; // Id of a customer, or of a target's incarnation.
+    uint64_t Id = 0; // Id of a customer, or of a target's incarnation.
     double Share = 1;      // Part of its requests that is admitted, 0 to 1.
 };
 
 // One message of a decision. Customers that are not listed are admitted in full, unless Covered is below 1.
 struct QuotaAnswer
 {
-    QuotaFleetSize Most;
+    QuotaFleetSize FleetSize;
     double Covered = 0; // Part of the window that is covered by reports, 0 to 1.
     std::vector<QuotaShare> Shares;
-    std::vector<TargetLimitUpdate> Named;
+    std::vector<TargetLimitUpdate> Limits;
 };
 
 struct QuotaReportedCount
@@ -986,7 +986,7 @@
 // The last reports of another instance.
 struct QuotaMember
 {
-    TimeUs HeardUs = 0; // Time of the last report; 0 if none.
+    TimeUs ReceivedUs = 0; // Time of the last report; 0 if none.
     double Members = 0; // As in QuotaReport.
     double Covered = 0;
     std::unordered_map<uint64_t, QuotaReportedCount> Counts; // By customer or target.
@@ -1001,16 +1001,16 @@
 struct Quota
 {
     QuotaConfig Config;
-    bool Decides = false;                               // This instance is a seed.
+    bool IsSeed = false;                               // This instance is a seed.
     TimeUs StartedUs = 0;                               // When this instance was started.
-    std::unordered_map<uint64_t, TargetLimit> Named;    // Limits of targets, by incarnation.
+    std::unordered_map<uint64_t, TargetLimit> Limits;    // Limits of targets, by incarnation.
     std::unordered_map<uint64_t, QuotaUse> Own;         // Counts of this instance, by customer or target; idle entries are removed.
     std::map<std::string, QuotaMember> Followers;       // Instances that report to this one, by address.
-    std::map<std::string, QuotaMember> Contacts;        // Other seeds, by address.
+    std::map<std::string, QuotaMember> Seeds;        // Other seeds, by address.
     std::unordered_map<uint64_t, QuotaDecision> Shares; // Customers or targets whose share is below 1, or was until recently.
     double Members = 1;                                 // Instances that report now; kept by seeds.
     double Covered = 0;                                 // Part of the window that is covered by reports of all instances, 0 to 1.
-    TimeUs ToldUs = 0;                                  // When a decision was last received; 0: never.
+    TimeUs DecisionUs = 0;                                  // When a decision was last received; 0: never.
     TimeUs DecidedUs = 0;                               // When QuotaDecide() last ran; 0: never.
     double MembersMost = 0;                             // Largest recent number of instances; 0: unknown.
     TimeUs MembersMaxUs = 0;                            // When MembersMost was counted.
@@ -1115,16 +1115,16 @@
     TimeUs RetryUs = 250 * UsPerMs;     // Initial backoff of a seed after all its sources failed; doubles with each round.
     TimeUs RetryMostUs = UsPerSecond;   // Longest backoff of a seed.
     TimeUs PeerRetryUs = 80 * UsPerMs;  // Backoff of all other instances; up to twice this, by jitter.
-    TimeUs ProbeUs = 100 * UsPerMs;     // Long-poll time at a source that is tried after another one failed.
+    TimeUs ShortWaitUs = 100 * UsPerMs;     // Long-poll time at a source that is tried after another one failed.
     TimeUs StaleUs = 1600 * UsPerMs;    // Data older than this is stale: the source is left.
-    TimeUs ReturnUs = 4 * UsPerSecond;  // Time until the preferred source is tried again; up to 1.5 times this, by jitter.
+    TimeUs FailbackUs = 4 * UsPerSecond;  // Time until the preferred source is tried again; up to 1.5 times this, by jitter.
     TimeUs AloneReturnUs = UsPerSecond; // The same for an instance that fell back to the store.
     TimeUs FresherUs = 100 * UsPerMs;   // An instance that is no seed is followed only if its data is fresher by this.
     TimeUs PatienceUs = 200 * UsPerMs; // Grace period for a seed that has lost the store; up to twice this, by jitter. Longer than the seed
                                        // needs to try two other seeds and to delegate to a follower.
     TimeUs LostUs = 2 * UsPerSecond;   // The same when all seeds have lost it, or when the source is no seed.
     TimeUs AskedUs = 3500 * UsPerMs;   // A source that has lost the store is left if the store was last tried longer ago.
-    TimeUs AloneUs = 800 * UsPerMs;    // An instance falls back to the store only if its data is older than this.
+    TimeUs StoreFallbackUs = 800 * UsPerMs;    // An instance falls back to the store only if its data is older than this.
     int FirstLeadsMost = 2;            // Followers that a seed delegates to in the first round; one in each later round.
     int AloneOdds = 64;                // Initial probability of the fallback to the store is 1/AloneOdds; doubles with each round.
     int MarginDoublings = 2;           // The timeout doubles with each late answer of the store, up to this many times.
@@ -1137,19 +1137,19 @@
     SourceKind_ Kind = SourceKind_None;
     std::string Address;                    // IP:port.
     TimeUs PauseUs = 0;                     // Delay before the call.
-    TimeUs WaitMostUs = 0;                  // Longest wait for changes; 0: the source's default.
+    TimeUs WaitMaxUs = 0;                  // Longest wait for changes; 0: the source's default.
     StoreReason_ Reason = StoreReason_None; // Only if Kind is SourceKind_Store.
-    bool Lead = false;                      // The other instance is to ask the store on behalf of this one.
-    bool Lost = false;                      // This instance knows that the store is lost: no answer is needed just for that.
+    bool AskStore = false;                      // The other instance is to ask the store on behalf of this one.
+    bool StoreLost = false;                      // This instance knows that the store is lost: no answer is needed just for that.
     int MarginDoublings = 0;                // How often the timeout is doubled.
 };
 
 // State of a source's data, as it reports it.
 struct SourceNews
 {
-    uint64_t At = 0;      // Store revision up to which its data is complete.
+    uint64_t Revision = 0;      // Store revision up to which its data is complete.
     TimeUs AgeUs = 0;     // Time since the data was known to be current.
-    bool Trouble = false; // It has lost the store.
+    bool StoreLost = false; // It has lost the store.
     TimeUs TriedUs = 0;   // If so: time since the last failed attempt to reach the store.
     std::string Origin;   // Address of the instance that reads the store for it, possibly the source itself.
 };
@@ -1169,20 +1169,20 @@
     FollowConfig Config;
     std::string Own;                   // Address for followers of this instance; empty if it can't be followed.
     std::string StoreAddress;          // "IP:port".
-    std::vector<std::string> Named;    // Seeds as the settings name them, sorted.
-    std::vector<std::string> Contacts; // Seeds other than this instance, in the order in which they are tried.
+    std::vector<std::string> Seeds;    // Seeds as the settings name them, sorted.
+    std::vector<std::string> OtherSeeds; // Seeds other than this instance, in the order in which they are tried.
     size_t Rank = 0;                   // Number of seeds that take precedence in reading the store; only if Reads.
     bool Reads = false;                // This instance is a seed, or there are no seeds.
-    std::vector<std::string> Known;    // Other instances, most recently seen last.
+    std::vector<std::string> KnownInstances;    // Other instances, most recently seen last.
 
-    uint64_t At = 0;       // Store revision up to which the data is complete; 0: no data.
+    uint64_t Revision = 0;       // Store revision up to which the data is complete; 0: no data.
     TimeUs FreshUs = 0;    // Time as of which the data was last known to be current.
     std::string Origin;    // Address of the instance that reads the store for this one, possibly Own.
     FollowStep Next;       // What to do next.
     TimeUs StartedUs = 0;  // Time of FollowStart().
-    TimeUs ReturnAtUs = 0; // When to try the preferred source again; 0: never.
-    bool Sent = false;     // The source was named in a redirect; it is used until it fails.
-    bool Needed = false;   // No data yet, and callers wait for it.
+    TimeUs FailbackAtUs = 0; // When to try the preferred source again; 0: never.
+    bool Redirected = false;     // The source was named in a redirect; it is used until it fails.
+    bool CallersWaiting = false;   // No data yet, and callers wait for it.
     int StoreTimeouts = 0; // Consecutive timeouts of the store.
 
     // State of the round of sources that follows a failure.
@@ -1230,8 +1230,8 @@
 {
     size_t FollowersMost = 28;      // Followers that wait for changes.
     size_t StartsMost = 8;          // Full reads served within StartUs.
-    TimeUs StartUs = 500 * UsPerMs; // Window of StartsMost.
-    size_t NamedMost = 3;           // Addresses named in one redirect.
+    TimeUs FullReadWindowUs = 500 * UsPerMs; // Window of StartsMost.
+    size_t RedirectsMax = 3;           // Addresses named in one redirect.
     size_t FarMost = 2;             // Followers in each other data centre, which pass updates on there; more than one for redundancy.
 };
 
@@ -1245,19 +1245,19 @@
 struct Fanout
 {
     FanoutConfig Config;
-    std::deque<FanoutStart> Starts; // Full reads served within StartUs, oldest first.
+    std::deque<FanoutStart> FullReads; // Full reads served within StartUs, oldest first.
 };
 
 // Request of another instance for updates.
 struct NewsAsker
 {
     std::string Address;     // Where it can be followed; empty if it can't.
-    bool Everything = false; // Full read; otherwise a long poll for changes after a revision.
+    bool FullRead = false; // Full read; otherwise a long poll for changes after a revision.
     uint64_t After = 0;      // That revision.
-    bool Lead = false;       // This instance is to ask the store on its behalf.
-    bool Lost = false;       // It knows that the store is lost.
+    bool AskStore = false;       // This instance is to ask the store on its behalf.
+    bool StoreLost = false;       // It knows that the store is lost.
     std::string DataCentre;  // Where it runs; empty if unknown.
-    bool Contact = false;    // It is a seed.
+    bool Seed = false;    // It is a seed.
 };
 
 enum NewsVerdict_ : int
@@ -1272,17 +1272,17 @@
 
 struct NewsAnswer
 {
-    NewsVerdict_ Verdict = NewsVerdict_None;
+    NewsVerdict_ Action = NewsVerdict_None;
     std::vector<std::string> Elsewhere; // Addresses of the redirect.
 };
 
 // State of the instance that received the request.
 struct NewsHolder
 {
-    uint64_t At = 0;                    // Store revision up to which its data is complete; 0: no data.
-    bool Lost = false;                  // It has lost the store.
+    uint64_t Revision = 0;                    // Store revision up to which its data is complete; 0: no data.
+    bool StoreLost = false;                  // It has lost the store.
     std::vector<std::string> Followers; // Addresses of the followers whose long polls wait here.
-    std::vector<std::string> Beside;    // Of these, the ones in the requester's data centre.
+    std::vector<std::string> Nearby;    // Of these, the ones in the requester's data centre.
     std::string DataCentre;             // Where it runs; empty if unknown.
 };
 
--- a/winchlink_budget.cpp
+++ b/winchlink_budget.cpp
@@ -44,13 +44,13 @@
         // The oldest step lies only partly in the window. It counts for the retries but not for the requests, so that the share is never
         // exceeded.
         requests += step.Number >= 0 && age < steps ? step.Requests : 0;
-        retries += step.Number >= 0 && age <= steps ? step.Repeats : 0;
+        retries += step.Number >= 0 && age <= steps ? step.Retries : 0;
     }
     if (retries + 1 > part * (budget->Share * requests + budget->Extra))
     {
         return false;
     }
-    current->Repeats++;
+    current->Retries++;
     return true;
 }
 
@@ -58,8 +58,8 @@
 {
     const int64_t number = StepNumber(*budget, taken);
     RepeatBudget::Step* step = RingEntry(budget, number);
-    const bool still_counted = step->Number == number && step->Repeats > 0; // Else the entry has been reused.
-    step->Repeats -= still_counted ? 1 : 0;
+    const bool still_counted = step->Number == number && step->Retries > 0; // Else the entry has been reused.
+    step->Retries -= still_counted ? 1 : 0;
 }
 
 } // namespace Winchlink
--- a/winchlink_directory.cpp
+++ b/winchlink_directory.cpp
@@ -59,7 +59,7 @@
 
 std::vector<std::string> DirectoryTakeEnded(TargetDirectory* directory)
 {
-    return std::exchange(directory->Ended, {});
+    return std::exchange(directory->Crashed, {});
 }
 
 //-----------------------------------------------------------------------------
@@ -80,7 +80,7 @@
 
 void DirectoryTrouble(TargetDirectory* directory, TimeUs now)
 {
-    directory->TroubleUs = now;
+    directory->StoreFailedUs = now;
     directory->InTrouble = true;
 }
 
@@ -89,7 +89,7 @@
     if (directory->InTrouble)
     {
         directory->InTrouble = false;
-        directory->ReturnedUs = now;
+        directory->StoreRecoveredUs = now;
     }
 }
 
@@ -97,7 +97,7 @@
 {
     if (target.Presence != Presence_Leaving)
     {
-        directory->Ended.push_back(TargetLife(target.Id, target.Life));
+        directory->Crashed.push_back(TargetLife(target.Id, target.Incarnation));
     }
 }
 
@@ -109,9 +109,9 @@
         return;
     }
     // The target may have announced draining before its entry shows it. Draining ends only with a new incarnation.
-    const bool announced_draining = known.Presence == Presence_Leaving && known.Life == target.Life;
+    const bool announced_draining = known.Presence == Presence_Leaving && known.Incarnation == target.Incarnation;
     directory->ChangedServices.insert(known.Service); // The entry may have moved from another service.
-    const bool restarted = !known.Id.empty() && known.Life != target.Life;
+    const bool restarted = !known.Id.empty() && known.Incarnation != target.Incarnation;
     if (restarted)
     {
         NoteCrash(directory, known);
@@ -126,14 +126,14 @@
 static bool IsAfterTrouble(const TargetDirectory& directory, TimeUs now)
 {
     const DirectoryConfig& config = directory.Config;
-    return directory.ReturnedUs > 0 && now < directory.ReturnedUs + config.ReturnUs + config.TroubleMemoryUs;
+    return directory.StoreRecoveredUs > 0 && now < directory.StoreRecoveredUs + config.RecoveryUs + config.TroubleMemoryUs;
 }
 
 static TimeUs ExpiryTime(const TargetDirectory& directory, TimeUs now)
 {
     const DirectoryConfig& config = directory.Config;
     const TimeUs soonest = now + config.VanishedUs;
-    return IsAfterTrouble(directory, now) ? std::max(soonest, directory.ReturnedUs + config.ReturnUs) : soonest;
+    return IsAfterTrouble(directory, now) ? std::max(soonest, directory.StoreRecoveredUs + config.RecoveryUs) : soonest;
 }
 
 static void MarkMissing(TargetDirectory* directory, DirectoryTarget* target, TimeUs now)
@@ -145,7 +145,7 @@
         NoteChange(directory, *target);
         if (!directory->InTrouble && !IsAfterTrouble(*directory, now))
         {
-            directory->Ended.push_back(TargetLife(target->Id, target->Life));
+            directory->Crashed.push_back(TargetLife(target->Id, target->Incarnation));
         }
     }
 }
@@ -197,7 +197,7 @@
 bool DirectoryToldLeaving(TargetDirectory* directory, const std::string& id, uint64_t life)
 {
     const auto found = directory->Targets.find(id);
-    const bool is_new = found != directory->Targets.end() && found->second.Life == life && found->second.Presence != Presence_Leaving;
+    const bool is_new = found != directory->Targets.end() && found->second.Incarnation == life && found->second.Presence != Presence_Leaving;
     if (is_new)
     {
         found->second.Presence = Presence_Leaving;
--- a/winchlink_document.cpp
+++ b/winchlink_document.cpp
@@ -64,10 +64,10 @@
     ReadInt(&r, "connectionsPerInstance", false, &row.ConnectionsPerInstance);
     ReadInt(&r, "requestsPerInstance", false, &row.RequestsPerInstance);
     ReadInt(&r, "deadlineMs", false, &row.DeadlineMs);
-    ReadInt(&r, "aimMs", false, &row.AimMs);
-    ReadInt(&r, "attemptsMost", false, &row.AttemptsMost);
+    ReadInt(&r, "aimMs", false, &row.LatencyObjectiveMs);
+    ReadInt(&r, "attemptsMost", false, &row.AttemptsMax);
     ReadText(&r, "healthPath", false, &row.HealthPath);
-    ReadTexts(&r, "repeatMethods", false, &row.RepeatMethods);
+    ReadTexts(&r, "repeatMethods", false, &row.RetryMethods);
     size_t index = 0;
     json_t* target = nullptr;
     json_t* targets = ReadList(&r, "targets", true);
@@ -156,11 +156,11 @@
     json_object_set_new(object, "connectionsPerInstance", json_integer(row.ConnectionsPerInstance));
     json_object_set_new(object, "requestsPerInstance", json_integer(row.RequestsPerInstance));
     json_object_set_new(object, "deadlineMs", json_integer(row.DeadlineMs));
-    json_object_set_new(object, "aimMs", json_integer(row.AimMs));
-    json_object_set_new(object, "attemptsMost", json_integer(row.AttemptsMost));
+    json_object_set_new(object, "aimMs", json_integer(row.LatencyObjectiveMs));
+    json_object_set_new(object, "attemptsMost", json_integer(row.AttemptsMax));
     json_object_set_new(object, "healthPath", JsonText(row.HealthPath));
     json_t* methods = json_array();
-    for (const std::string& method : row.RepeatMethods)
+    for (const std::string& method : row.RetryMethods)
     {
         json_array_append_new(methods, JsonText(method));
     }
--- a/winchlink_follow.cpp
+++ b/winchlink_follow.cpp
@@ -45,7 +45,7 @@
     step.Address = follow.StoreAddress;
     step.Reason = reason;
     const bool probing = follow.Tried > 0 || (reason != StoreReason_Start && reason != StoreReason_Wait);
-    step.WaitMostUs = probing ? follow.Config.ProbeUs : 0;
+    step.WaitMaxUs = probing ? follow.Config.ShortWaitUs : 0;
     step.MarginDoublings = std::min(follow.StoreTimeouts, follow.Config.MarginDoublings);
     return step;
 }
@@ -55,7 +55,7 @@
     FollowStep step;
     step.Kind = kind;
     step.Address = address;
-    step.WaitMostUs = follow.Tried > 0 ? follow.Config.ProbeUs : 0;
+    step.WaitMaxUs = follow.Tried > 0 ? follow.Config.ShortWaitUs : 0;
     return step;
 }
 
@@ -77,29 +77,29 @@
 // is lost when one of these seeds is down.
 static size_t StoreIndex(const Follow& follow)
 {
-    return follow.At == 0 ? 0 : follow.Rank;
+    return follow.Revision == 0 ? 0 : follow.Rank;
 }
 
 static size_t RoundLength(const Follow& follow)
 {
-    return follow.Contacts.size() + (follow.Reads ? 1 : 0);
+    return follow.OtherSeeds.size() + (follow.Reads ? 1 : 0);
 }
 
 static FollowStep StepAt(const Follow& follow, size_t place)
 {
     if (!follow.Reads)
     {
-        return InstanceStep(follow, SourceKind_Contact, follow.Contacts[place]);
+        return InstanceStep(follow, SourceKind_Contact, follow.OtherSeeds[place]);
     }
     const size_t store = StoreIndex(follow);
     if (place == store)
     {
         const bool first = follow.RoundsInRow == 0;
-        const StoreReason_ usual = follow.At == 0 ? StoreReason_Start : StoreReason_Wait;
+        const StoreReason_ usual = follow.Revision == 0 ? StoreReason_Start : StoreReason_Wait;
         return StoreStep(follow, first ? usual : StoreReason_Retry);
     }
-    FollowStep step = InstanceStep(follow, SourceKind_Contact, follow.Contacts[place < store ? place : place - 1]);
-    step.Lost = follow.At == 0; // Without data: the store, which comes first, has failed.
+    FollowStep step = InstanceStep(follow, SourceKind_Contact, follow.OtherSeeds[place < store ? place : place - 1]);
+    step.StoreLost = follow.Revision == 0; // Without data: the store, which comes first, has failed.
     return step;
 }
 
@@ -110,8 +110,8 @@
     follow->ToldLost = false;
     follow->LeftStore = false;
     follow->KeptUntilUs = 0;
-    follow->ReturnAtUs = 0;
-    follow->Sent = false;
+    follow->FailbackAtUs = 0;
+    follow->Redirected = false;
 }
 
 // Restarts at the preferred source: the first of the round for a seed, the seed used last for other instances.
@@ -138,7 +138,7 @@
 // Whether an instance without any answering source falls back to the store now.
 static bool FallsBackToStore(Follow* follow, TimeUs now, Random* random)
 {
-    const bool old = now >= std::max(follow->FreshUs, follow->StartedUs) + follow->Config.AloneUs;
+    const bool old = now >= std::max(follow->FreshUs, follow->StartedUs) + follow->Config.StoreFallbackUs;
     if (follow->Reads || follow->ToldLost || !old)
     {
         return false;
@@ -152,7 +152,7 @@
 static void EndRound(Follow* follow, TimeUs now, Random* random)
 {
     const bool from_store = follow->LeftStore && !follow->Reads;
-    const bool still_fresh = now < follow->FreshUs + follow->Config.AloneUs;
+    const bool still_fresh = now < follow->FreshUs + follow->Config.StoreFallbackUs;
     const bool back_to_store = from_store && !still_fresh;
     const bool fallback = !from_store && FallsBackToStore(follow, now, random);
     follow->RoundsInRow++;
@@ -173,14 +173,14 @@
 // start later than other instances.
 static bool AsksStoreForCallers(const Follow& follow)
 {
-    return follow.Needed && follow.At == 0 && follow.Tried > 0 && !follow.Reads && follow.Next.Kind != SourceKind_Store;
+    return follow.CallersWaiting && follow.Revision == 0 && follow.Tried > 0 && !follow.Reads && follow.Next.Kind != SourceKind_Store;
 }
 
 // Goes to the next source of the round; `now` is the time at which the current one proved unusable.
 static void TryNextSource(Follow* follow, TimeUs now, Random* random)
 {
     follow->KeptUntilUs = 0;
-    follow->Sent = false;
+    follow->Redirected = false;
     follow->Tried++;
     if (AsksStoreForCallers(*follow))
     {
@@ -195,11 +195,11 @@
         return;
     }
     const int others_max = follow->Reads && follow->RoundsInRow == 0 ? follow->Config.FirstLeadsMost : 1;
-    if (follow->TriedOthers < others_max && !follow->Known.empty())
+    if (follow->TriedOthers < others_max && !follow->KnownInstances.empty())
     {
         follow->TriedOthers++;
-        follow->Next = InstanceStep(*follow, SourceKind_Instance, RandomAddress(follow->Known, random));
-        follow->Next.Lead = follow->Reads;
+        follow->Next = InstanceStep(*follow, SourceKind_Instance, RandomAddress(follow->KnownInstances, random));
+        follow->Next.AskStore = follow->Reads;
         return;
     }
     EndRound(follow, now, random);
@@ -216,12 +216,12 @@
     const bool is_first = follow.Next.Kind == first.Kind && follow.Next.Address == first.Address;
     const bool preferred = follow.Reads ? is_first : follow.Next.Kind == SourceKind_Contact;
     const bool fallback = !follow.Reads && follow.Next.Kind == SourceKind_Store;
-    if (fallback && follow.Needed)
+    if (fallback && follow.CallersWaiting)
     {
         return now; // The waiting callers can be served now; go back to the seeds at once.
     }
-    const TimeUs until = fallback ? follow.Config.AloneReturnUs : follow.Config.ReturnUs;
-    return preferred || follow.Sent ? 0 : now + until + RandomUpTo(until / 2, random);
+    const TimeUs until = fallback ? follow.Config.AloneReturnUs : follow.Config.FailbackUs;
+    return preferred || follow.Redirected ? 0 : now + until + RandomUpTo(until / 2, random);
 }
 
 // Index of the current source in the round; unchanged if it is not part of the round.
@@ -251,9 +251,9 @@
     follow->KeptUntilUs = 0;
     follow->StoreTimeouts = from_store ? 0 : follow->StoreTimeouts;
     follow->Place = CurrentPlace(*follow);
-    follow->ReturnAtUs = follow->ReturnAtUs == 0 ? FailbackTime(*follow, now, random) : follow->ReturnAtUs;
-    follow->Needed = false;
-    if (follow->ReturnAtUs != 0 && now >= follow->ReturnAtUs)
+    follow->FailbackAtUs = follow->FailbackAtUs == 0 ? FailbackTime(*follow, now, random) : follow->FailbackAtUs;
+    follow->CallersWaiting = false;
+    if (follow->FailbackAtUs != 0 && now >= follow->FailbackAtUs)
     {
         RestartRound(follow);
         follow->LeftStore = from_store;
@@ -265,7 +265,7 @@
 // Removes an unusable instance from the known ones. FollowMet() adds it again.
 static void ForgetInstance(Follow* follow, const std::string& address)
 {
-    std::vector<std::string>& known = follow->Known;
+    std::vector<std::string>& known = follow->KnownInstances;
     known.erase(std::remove(known.begin(), known.end(), address), known.end());
 }
 
@@ -301,8 +301,8 @@
         return;
     }
     follow->Next = NextCall(follow->Next);
-    follow->Next.Lost = true;
-    follow->Next.WaitMostUs = follow->KeptUntilUs - now;
+    follow->Next.StoreLost = true;
+    follow->Next.WaitMaxUs = follow->KeptUntilUs - now;
 }
 
 // Whether an instance that is no seed is a better source than the current one. An instance that is not fresher may be a follower of this
@@ -321,29 +321,29 @@
     assert(follow->Next.Kind != SourceKind_None && "call FollowStart() first");
     const bool from_store = follow->Next.Kind == SourceKind_Store;
     const bool ours = !from_store && !follow->Own.empty() && news.Origin == follow->Own;
-    const bool not_retried = news.Trouble && news.TriedUs > follow->Config.AskedUs;
-    const bool old = !news.Trouble && news.AgeUs > follow->Config.StaleUs;
-    if (news.At < follow->At)
+    const bool not_retried = news.StoreLost && news.TriedUs > follow->Config.AskedUs;
+    const bool old = !news.StoreLost && news.AgeUs > follow->Config.StaleUs;
+    if (news.Revision < follow->Revision)
     {
         FollowFailed(follow, false, now, random);
         return FollowVerdict_Behind;
     }
-    const bool any = follow->TriedOthers == 0 || follow->Next.Lead || follow->At == 0;
+    const bool any = follow->TriedOthers == 0 || follow->Next.AskStore || follow->Revision == 0;
     const bool better = any || IsBetter(*follow, news, now);
-    const bool is_behind = !better || (news.Trouble && follow->LeftStore);
-    follow->At = news.At;
+    const bool is_behind = !better || (news.StoreLost && follow->LeftStore);
+    follow->Revision = news.Revision;
     follow->FreshUs = std::max(follow->FreshUs, now - news.AgeUs);
     if (is_behind || not_retried || old)
     {
         FollowFailed(follow, false, now, random);
         return FollowVerdict_Behind;
     }
-    if (ours && !news.Trouble)
+    if (ours && !news.StoreLost)
     {
         FollowFailed(follow, false, now, random);
         return FollowVerdict_Ours;
     }
-    if (news.Trouble)
+    if (news.StoreLost)
     {
         OnStoreLost(follow, now, random);
         return FollowVerdict_Lost;
@@ -359,13 +359,13 @@
     {
         follow->StoreTimeouts = late ? follow->StoreTimeouts + 1 : 0;
         follow->AloneRounds = 0;
-        follow->Needed = false; // Set again when more callers wait. Limits the calls to an unavailable store.
+        follow->CallersWaiting = false; // Set again when more callers wait. Limits the calls to an unavailable store.
     }
     ForgetInstance(follow, failed.Address);
-    if (follow->Sent)
+    if (follow->Redirected)
     {
         // Back to the current seed of the round, which redirects to another instance.
-        follow->Sent = false;
+        follow->Redirected = false;
         follow->Next = StepAt(*follow, follow->Place);
         follow->Next.PauseUs = RandomUpTo(follow->Config.PeerRetryUs, random);
         return;
@@ -382,8 +382,8 @@
     {
         FollowMet(follow, address);
     }
-    follow->Sent = true;
-    follow->ReturnAtUs = 0;
+    follow->Redirected = true;
+    follow->FailbackAtUs = 0;
     FollowStep step;
     step.Kind = SourceKind_Instance;
     step.Address = RandomAddress(addresses, random);
@@ -396,35 +396,35 @@
     {
         return false;
     }
-    follow->Sent = false;
+    follow->Redirected = false;
     follow->KeptUntilUs = 0;
-    follow->ReturnAtUs = 0;
+    follow->FailbackAtUs = 0;
     follow->Next = StoreStep(*follow, StoreReason_Asked);
     return true;
 }
 
 bool FollowNeeded(Follow* follow)
 {
-    follow->Needed = true;
+    follow->CallersWaiting = true;
     if (!AsksStoreForCallers(*follow))
     {
         return false;
     }
-    follow->Sent = false;
+    follow->Redirected = false;
     follow->Next = StoreStep(*follow, StoreReason_Alone);
     return true;
 }
 
 void FollowMet(Follow* follow, const std::string& address)
 {
-    const std::vector<std::string>& contacts = follow->Contacts;
+    const std::vector<std::string>& contacts = follow->OtherSeeds;
     const bool contact = std::find(contacts.begin(), contacts.end(), address) != contacts.end();
     if (address.empty() || contact || address == follow->Own)
     {
         return;
     }
     ForgetInstance(follow, address);
-    std::vector<std::string>& known = follow->Known;
+    std::vector<std::string>& known = follow->KnownInstances;
     if (known.size() >= follow->Config.KnownMost)
     {
         known.erase(known.begin());
@@ -454,7 +454,7 @@
     std::vector<std::string> sorted = contacts;
     std::sort(sorted.begin(), sorted.end());
     sorted.erase(std::unique(sorted.begin(), sorted.end()), sorted.end());
-    const bool same = follow->StoreAddress == store && follow->Own == own && follow->Named == sorted;
+    const bool same = follow->StoreAddress == store && follow->Own == own && follow->Seeds == sorted;
     if (same)
     {
         return;
@@ -463,14 +463,14 @@
     const bool read = follow->Reads;
     follow->Own = own;
     follow->StoreAddress = store;
-    follow->Named = sorted;
+    follow->Seeds = sorted;
     follow->Reads = self != sorted.end() || sorted.empty();
     follow->Rank = self != sorted.end() ? static_cast<size_t>(self - sorted.begin()) : 0;
-    follow->Contacts = SeedOrder(sorted, own, follow->Reads, random);
+    follow->OtherSeeds = SeedOrder(sorted, own, follow->Reads, random);
     follow->Place = 0;
     follow->Tried = 0;
     const bool recheck = follow->Next.Kind != SourceKind_None && (read || follow->Reads);
-    follow->ReturnAtUs = recheck ? 1 : 0; // Reconsider the preferred source at the next good answer.
+    follow->FailbackAtUs = recheck ? 1 : 0; // Reconsider the preferred source at the next good answer.
 }
 
 void FollowStart(Follow* follow, TimeUs now)
@@ -509,15 +509,15 @@
 static bool IsServedInOwnDataCentre(const FanoutConfig& config, const NewsAsker& asker, const NewsHolder& holder, size_t beside)
 {
     const bool far = !asker.DataCentre.empty() && !holder.DataCentre.empty() && asker.DataCentre != holder.DataCentre;
-    return far && !asker.Contact && beside >= config.FarMost;
+    return far && !asker.Seed && beside >= config.FarMost;
 }
 
 // Handles a full read. Returns the addresses to redirect to; empty if it is served here.
 static std::vector<std::string> RedirectFullRead(Fanout* fanout, const NewsAsker& asker, const NewsHolder& holder, TimeUs now,
                                                  Random* random)
 {
-    std::deque<FanoutStart>& starts = fanout->Starts;
-    while (!starts.empty() && now >= starts.front().ServedUs + fanout->Config.StartUs)
+    std::deque<FanoutStart>& starts = fanout->FullReads;
+    while (!starts.empty() && now >= starts.front().ServedUs + fanout->Config.FullReadWindowUs)
     {
         starts.pop_front();
     }
@@ -537,7 +537,7 @@
     std::vector<std::string> named;
     if (!again && elsewhere)
     {
-        named = PickNearby(beside, served, asker.Address, fanout->Config.NamedMost, random);
+        named = PickNearby(beside, served, asker.Address, fanout->Config.RedirectsMax, random);
     }
     if (named.empty())
     {
@@ -549,30 +549,30 @@
 // Whether the requester is to be answered at once.
 static bool AnswersNow(const NewsAsker& asker, const NewsHolder& holder)
 {
-    const bool both_lost = holder.At == 0 && holder.Lost && asker.Lost; // Waiting here would be pointless.
-    if (asker.Everything)
+    const bool both_lost = holder.Revision == 0 && holder.StoreLost && asker.StoreLost; // Waiting here would be pointless.
+    if (asker.FullRead)
     {
-        return holder.At != 0 || both_lost;
+        return holder.Revision != 0 || both_lost;
     }
-    const bool loss_changed = holder.Lost != asker.Lost;               // The state of the store has changed.
-    return holder.At == 0 || asker.After != holder.At || loss_changed; // A requester that is ahead is answered too, so that it leaves.
+    const bool loss_changed = holder.StoreLost != asker.StoreLost;               // The state of the store has changed.
+    return holder.Revision == 0 || asker.After != holder.Revision || loss_changed; // A requester that is ahead is answered too, so that it leaves.
 }
 
 NewsAnswer FanoutAsked(Fanout* fanout, const NewsAsker& asker, const NewsHolder& holder, TimeUs now, Random* random)
 {
-    if (asker.Lead)
+    if (asker.AskStore)
     {
         return {NewsVerdict_Lead, {}};
     }
     const bool full = holder.Followers.size() >= fanout->Config.FollowersMost;
     std::vector<std::string> named; // Empty while the store is lost: followers must get that from here.
-    if (asker.Everything)
+    if (asker.FullRead)
     {
         named = RedirectFullRead(fanout, asker, holder, now, random);
     }
-    else if (!holder.Lost && (full || IsServedInOwnDataCentre(fanout->Config, asker, holder, holder.Beside.size())))
+    else if (!holder.StoreLost && (full || IsServedInOwnDataCentre(fanout->Config, asker, holder, holder.Nearby.size())))
     {
-        named = PickNearby(holder.Beside, holder.Followers, asker.Address, fanout->Config.NamedMost, random);
+        named = PickNearby(holder.Nearby, holder.Followers, asker.Address, fanout->Config.RedirectsMax, random);
     }
     if (!named.empty())
     {
--- a/winchlink_pick.cpp
+++ b/winchlink_pick.cpp
@@ -36,8 +36,8 @@
     {
         return cold + (state == PoolCold_NotOurs ? 1 : 0);
     }
-    const bool failed = careful && now < target.CarefulUntilUs;
-    return now < target.AvoidUntilUs ? 2 : target.Doubtful || failed ? 1 : 0;
+    const bool failed = careful && now < target.AvoidUnsafeUntilUs;
+    return now < target.AvoidUntilUs ? 2 : target.EntryMissing || failed ? 1 : 0;
 }
 
 PoolRank PoolRankOf(const TargetPool& pool, const PoolTarget& target, bool had_new, bool careful, TimeUs now)
--- a/winchlink_plan.cpp
+++ b/winchlink_plan.cpp
@@ -48,8 +48,8 @@
 
 bool MayRepeat(const Route& route, const std::string& method)
 {
-    const std::vector<std::string>& methods = route.RepeatMethods;
-    return route.Repeatable || std::find(methods.begin(), methods.end(), method) != methods.end();
+    const std::vector<std::string>& methods = route.RetryMethods;
+    return route.Retryable || std::find(methods.begin(), methods.end(), method) != methods.end();
 }
 
 const ServiceInfo* FindService(const RoutePlan& plan, const std::string& name)
--- a/winchlink_pool.cpp
+++ b/winchlink_pool.cpp
@@ -22,20 +22,20 @@
 
 TimeUs AskTimeNow(const AskTime& time)
 {
-    return std::max(time.LeastUs, static_cast<TimeUs>(time.NowUs));
+    return std::max(time.MinUs, static_cast<TimeUs>(time.CurrentUs));
 }
 
 // Shrinks the timeout so that it is stable when a share LateShare of the answers is late.
 void AskTimeAnswered(AskTime* time)
 {
     const double shrink_factor = std::pow(time->Growth, -time->LateShare / (1 - time->LateShare));
-    time->NowUs = std::max(time->NowUs * shrink_factor, static_cast<double>(time->LeastUs));
+    time->CurrentUs = std::max(time->CurrentUs * shrink_factor, static_cast<double>(time->MinUs));
 }
 
 void AskTimeLate(AskTime* time)
 {
     const double grown = static_cast<double>(AskTimeNow(*time)) * time->Growth;
-    time->NowUs = std::min(grown, static_cast<double>(time->MostUs));
+    time->CurrentUs = std::min(grown, static_cast<double>(time->MaxUs));
 }
 
 std::optional<LoadReport> ParseLoadReport(const std::string& text)
@@ -50,14 +50,14 @@
 {
     target->Report = report;
     target->ReportUs = now;
-    target->Since = 0;
+    target->SentSinceReport = 0;
 }
 
 void PoolFailed(const PoolConfig& config, PoolTarget* target, TimeUs now)
 {
     const int doublings = std::min(target->FailuresInRow, config.AvoidDoublings);
     target->AvoidUntilUs = now + (config.AvoidUs << doublings);
-    target->CarefulUntilUs = now + config.CarefulUs;
+    target->AvoidUnsafeUntilUs = now + config.AvoidUnsafeUs;
     target->FailuresInRow++;
 }
 
@@ -94,7 +94,7 @@
 PoolTarget* PoolFindEntry(TargetPool* pool, const std::string& id, uint64_t entry)
 {
     PoolTarget* target = PoolFind(pool, id);
-    return target != nullptr && target->Entry == entry ? target : nullptr;
+    return target != nullptr && target->Generation == entry ? target : nullptr;
 }
 
 int64_t PoolDrawOrder(const PoolTarget& target, Random* random)
@@ -109,7 +109,7 @@
 {
     pool->InUse = true;
     target->InFlight++;
-    target->Since++;
+    target->SentSinceReport++;
     target->ColdSent++;
     target->New = false;
 }
@@ -138,11 +138,11 @@
     pool->Targets.emplace_back();
     PoolTarget* target = &pool->Targets.back();
     target->Id = listed.Id;
-    target->Life = listed.Life;
-    target->LifeId = TargetLifeId(listed.Id, listed.Life);
+    target->Incarnation = listed.Incarnation;
+    target->IncarnationId = TargetLifeId(listed.Id, listed.Incarnation);
     target->New = pool->InUse;
-    target->BackoffUntilUs = BackoffOf(*pool, target->LifeId);
-    target->Entry = ++pool->LastEntry;
+    target->BackoffUntilUs = BackoffOf(*pool, target->IncarnationId);
+    target->Generation = ++pool->LastGeneration;
     pool->Index.ById[listed.Id] = std::prev(pool->Targets.end());
     return target;
 }
@@ -160,7 +160,7 @@
 {
     const auto unlisted = [pool](const PoolTarget& target)
     {
-        return target.Listed != pool->Follows;
+        return target.LastSync != pool->SyncCount;
     };
     std::vector<PoolTarget*>& marked = pool->Index.Marked;
     marked.erase(std::remove_if(marked.begin(), marked.end(), [&](const PoolTarget* target) { return unlisted(*target); }), marked.end());
@@ -174,7 +174,7 @@
 static void RemovePreviousIncarnation(TargetPool* pool, const DirectoryTarget& listed)
 {
     const auto found = pool->Index.ById.find(listed.Id);
-    if (found != pool->Index.ById.end() && found->second->Life != listed.Life)
+    if (found != pool->Index.ById.end() && found->second->Incarnation != listed.Incarnation)
     {
         std::vector<PoolTarget*>& marked = pool->Index.Marked;
         marked.erase(std::remove(marked.begin(), marked.end(), &*found->second), marked.end());
@@ -194,22 +194,22 @@
     {
         RemoveFromGroup(pool, target);
     }
-    target->Listed = pool->Follows;
+    target->LastSync = pool->SyncCount;
     target->Address = listed.Address;
     target->Near = near;
-    target->Doubtful = listed.Presence == Presence_Vanished;
+    target->EntryMissing = listed.Presence == Presence_Vanished;
     target->Slots = listed.Slots;
     target->Weight = listed.Weight;
     if (!same_weight)
     {
         target->Order = PoolDrawOrder(*target, random);
     }
-    PoolToldCold(pool->Config, target, listed.WarmUntilUs);
+    PoolToldCold(pool->Config, target, listed.ColdUntilUs);
     if (!same_group)
     {
         AddToGroup(pool, target);
     }
-    if (target->Doubtful || target->New || target->WarmUntilUs > 0 || target->BackoffUntilUs > 0)
+    if (target->EntryMissing || target->New || target->ColdUntilUs > 0 || target->BackoffUntilUs > 0)
     {
         Mark(pool, target);
     }
@@ -217,7 +217,7 @@
 
 void PoolFollow(TargetPool* pool, const TargetList& listed_targets, const std::string& data_centre, Random* random)
 {
-    pool->Follows++;
+    pool->SyncCount++;
     pool->Evacuated = 0;
     size_t followed = 0;
     for (const DirectoryTarget* listed : listed_targets)
@@ -238,14 +238,14 @@
 
 static bool IsFresh(const PoolConfig& config, const PoolTarget& target, TimeUs now)
 {
-    return target.ReportUs > 0 && now < target.ReportUs + config.ReportUs;
+    return target.ReportUs > 0 && now < target.ReportUs + config.ReportMaxAgeUs;
 }
 
 bool PoolAtRest(const TargetPool& pool, const PoolTarget& target, TimeUs now)
 {
     const bool idle = target.InFlight == 0 && !IsFresh(pool.Config, target, now);
-    const bool trusted = now >= target.AvoidUntilUs && now >= target.CarefulUntilUs && !target.Doubtful;
-    return idle && trusted && !target.New && now >= target.WarmUntilUs && PoolMayUse(target, now);
+    const bool trusted = now >= target.AvoidUntilUs && now >= target.AvoidUnsafeUntilUs && !target.EntryMissing;
+    return idle && trusted && !target.New && now >= target.ColdUntilUs && PoolMayUse(target, now);
 }
 
 // Whether one more request would make a target nearly full that already has `busy` requests.
@@ -264,17 +264,17 @@
     const PoolConfig& config = pool.Config;
     const bool fresh = IsFresh(config, target, now);
     const int slots = fresh ? target.Report.Slots : target.Slots;
-    const int busy = fresh ? target.Report.Running + target.Report.Waiting + target.Since : target.InFlight;
+    const int busy = fresh ? target.Report.Running + target.Report.Waiting + target.SentSinceReport : target.InFlight;
     const double pace = fresh ? target.Report.PacePercent / 100.0 : 1.0;
     const bool nearly_full = MakesNearlyFull(config, busy, slots);
     const double queue = busy >= slots ? 1.0 + static_cast<double>(busy + 1 - slots) / slots : 1.0;
-    const double warm = now < target.WarmUntilUs ? config.WarmFactor : 1.0;
+    const double warm = now < target.ColdUntilUs ? config.ColdFactor : 1.0;
     return pace * queue * warm * (nearly_full ? pool.NearlyFullFactor : 1.0);
 }
 
 bool PoolSettles(const TargetPool& pool, const PoolTarget& target, TimeUs now)
 {
-    return PoolCost(pool, target, now) <= pool.Config.SettleCost;
+    return PoolCost(pool, target, now) <= pool.Config.AcceptableCost;
 }
 
 bool PoolHasRoom(const TargetPool& pool, const PoolTarget& target)
@@ -282,7 +282,7 @@
     const int slots = target.Report.Slots;
     const int below = std::max(1, static_cast<int>(pool.Config.NearlyFullShare * slots));
     const bool last_slots_cost_throughput = slots / pool.NearlyFullFactor < below;
-    return target.Report.Running + target.Report.Waiting + target.Since < (last_slots_cost_throughput ? below : slots);
+    return target.Report.Running + target.Report.Waiting + target.SentSinceReport < (last_slots_cost_throughput ? below : slots);
 }
 
 //-----------------------------------------------------------------------------
@@ -304,7 +304,7 @@
     const bool usable = now >= known;
     known = std::max(known, until);
     PoolTarget* target = PoolFind(pool, id);
-    if (target != nullptr && target->Life == incarnation)
+    if (target != nullptr && target->Incarnation == incarnation)
     {
         target->BackoffUntilUs = known;
     }
@@ -336,9 +336,9 @@
 
 void PoolToldCold(const PoolConfig& config, PoolTarget* target, TimeUs until)
 {
-    const bool again = until - config.ColdUs >= target->WarmUntilUs; // A new cold period, not the current one reported again.
+    const bool again = until - config.ColdUs >= target->ColdUntilUs; // A new cold period, not the current one reported again.
     target->ColdSent = again ? 0 : target->ColdSent;
-    target->WarmUntilUs = std::max(target->WarmUntilUs, until);
+    target->ColdUntilUs = std::max(target->ColdUntilUs, until);
 }
 
 void PoolLearnShare(TargetPool* pool, const LoadReport& report, int own)
@@ -357,13 +357,13 @@
 PoolCold_ PoolColdState(const TargetPool& pool, const PoolTarget& target, TimeUs now)
 {
     const PoolConfig& config = pool.Config;
-    if (config.ColdPerS <= 0 || now >= target.WarmUntilUs)
+    if (config.ColdPerS <= 0 || now >= target.ColdUntilUs)
     {
         return PoolCold_None;
     }
     constexpr int64_t phases = 1000000;
     const double phase = static_cast<double>(target.Order % phases) / phases; // Random, see PoolDrawOrder().
-    const auto since = static_cast<double>(now - (target.WarmUntilUs - config.ColdUs)) / UsPerSecond;
+    const auto since = static_cast<double>(now - (target.ColdUntilUs - config.ColdUs)) / UsPerSecond;
     const double allowed = phase + ShareOfWork(pool) * config.ColdPerS * std::max(since, 0.0);
     return target.ColdSent + 1 <= allowed ? PoolCold_OurTurn : PoolCold_NotOurs;
 }
@@ -371,7 +371,7 @@
 bool PoolMayTakeCold(const TargetPool& pool, const PoolTarget& target, TimeUs now)
 {
     const PoolCold_ state = PoolColdState(pool, target, now);
-    const bool idle = target.Report.Running + target.Report.Waiting + target.Since == 0 && target.InFlight == 0;
+    const bool idle = target.Report.Running + target.Report.Waiting + target.SentSinceReport == 0 && target.InFlight == 0;
     return state == PoolCold_None || (state == PoolCold_OurTurn && idle);
 }
 
@@ -381,9 +381,9 @@
 
 void PoolLearnNearlyFull(TargetPool* pool, double factor)
 {
-    const double clamped = std::clamp(factor, 1.0, pool->Config.NearlyFullMost);
-    pool->NearlyFullSeen++;
-    const double gain = std::max(pool->Config.NearlyFullGain, 1.0 / (pool->NearlyFullSeen + pool->Config.NearlyFullPrior));
+    const double clamped = std::clamp(factor, 1.0, pool->Config.NearlyFullFactorMax);
+    pool->NearlyFullSamples++;
+    const double gain = std::max(pool->Config.NearlyFullGain, 1.0 / (pool->NearlyFullSamples + pool->Config.NearlyFullPrior));
     pool->NearlyFullFactor += gain * (clamped - pool->NearlyFullFactor);
 }
 
--- a/winchlink_quarantine.cpp
+++ b/winchlink_quarantine.cpp
@@ -39,14 +39,14 @@
     {
         return !entry.second.Cleared;
     };
-    return static_cast<int>(std::count_if(request.Ends.begin(), request.Ends.end(), counts));
+    return static_cast<int>(std::count_if(request.Crashes.begin(), request.Crashes.end(), counts));
 }
 
 // Sorted times of the crashes that are not cleared.
 static std::vector<TimeUs> CrashTimes(const SuspectRequest& request)
 {
     std::vector<TimeUs> times;
-    for (const auto& [target, crash] : request.Ends)
+    for (const auto& [target, crash] : request.Crashes)
     {
         if (!crash.Cleared)
         {
@@ -60,11 +60,11 @@
 // The quarantine time doubles each time that a request crashes a target after its release. `times` is sorted.
 static TimeUs QuarantineTime(const QuarantineConfig& config, const std::vector<TimeUs>& times)
 {
-    TimeUs duration = config.HoldUs;
+    TimeUs duration = config.QuarantineUs;
     for (size_t n = 1; n < times.size(); n++)
     {
         const bool was_released = times[n] - times[n - 1] >= duration;
-        duration = was_released ? std::min(2 * duration, config.HoldMostUs) : duration;
+        duration = was_released ? std::min(2 * duration, config.QuarantineMaxUs) : duration;
     }
     return duration;
 }
@@ -72,8 +72,8 @@
 static void UpdateQuarantine(const QuarantineConfig& config, SuspectRequest* request)
 {
     const std::vector<TimeUs> times = CrashTimes(*request);
-    const bool quarantined = static_cast<int>(times.size()) >= config.EndsMost;
-    request->HeldUntilUs = quarantined ? times.back() + QuarantineTime(config, times) : 0;
+    const bool quarantined = static_cast<int>(times.size()) >= config.CrashThreshold;
+    request->QuarantinedUntilUs = quarantined ? times.back() + QuarantineTime(config, times) : 0;
 }
 
 static void AddText(crypto_generichash_state* state, const std::string& text)
@@ -94,7 +94,7 @@
     crypto_generichash_init(&state, nullptr, 0, hash.size());
     for (const auto& [key, request] : quarantine.Requests)
     {
-        for (const auto& [target, crash] : request.Ends)
+        for (const auto& [target, crash] : request.Crashes)
         {
             AddText(&state, key);
             AddText(&state, target);
@@ -114,7 +114,7 @@
 static TimeUs LastCrashUs(const SuspectRequest& request)
 {
     TimeUs last = 0;
-    for (const auto& entry : request.Ends)
+    for (const auto& entry : request.Crashes)
     {
         last = std::max(last, entry.second.AtUs);
     }
@@ -124,7 +124,7 @@
 // Time after the last crash for which a request is kept. A quarantined one is kept beyond its release, so that the time can double.
 static TimeUs RetentionOf(const QuarantineConfig& config, const SuspectRequest& request)
 {
-    return CountCrashes(request) < config.EndsMost ? config.HoldUs : 2 * QuarantineTime(config, CrashTimes(request));
+    return CountCrashes(request) < config.CrashThreshold ? config.QuarantineUs : 2 * QuarantineTime(config, CrashTimes(request));
 }
 
 static bool IsExpired(const QuarantineConfig& config, const SuspectRequest& request, TimeUs now)
@@ -139,9 +139,9 @@
     {
         return a.second.AtUs < b.second.AtUs;
     };
-    while (request->Ends.size() > config.EndsKept)
+    while (request->Crashes.size() > config.CrashesMax)
     {
-        request->Ends.erase(std::min_element(request->Ends.begin(), request->Ends.end(), earlier));
+        request->Crashes.erase(std::min_element(request->Crashes.begin(), request->Crashes.end(), earlier));
     }
 }
 
@@ -154,7 +154,7 @@
         const int crashes_b = CountCrashes(b.second);
         return crashes_a != crashes_b ? crashes_a < crashes_b : LastCrashUs(a.second) < LastCrashUs(b.second);
     };
-    while (quarantine->Requests.size() > quarantine->Config.RequestsMost)
+    while (quarantine->Requests.size() > quarantine->Config.RequestsMax)
     {
         quarantine->Requests.erase(std::min_element(quarantine->Requests.begin(), quarantine->Requests.end(), removed_before));
     }
@@ -195,7 +195,7 @@
 bool QuarantineNote(Quarantine* quarantine, const std::string& request, const std::string& target, TimeUs now)
 {
     SuspectRequest& suspect = quarantine->Requests[request];
-    const bool is_new = suspect.Ends.emplace(target, TargetEnd{now, false}).second;
+    const bool is_new = suspect.Crashes.emplace(target, TargetEnd{now, false}).second;
     if (is_new)
     {
         LimitCrashes(quarantine->Config, &suspect);
@@ -211,7 +211,7 @@
     {
         return false;
     }
-    for (auto& entry : found->second.Ends)
+    for (auto& entry : found->second.Crashes)
     {
         entry.second.Cleared = true;
     }
@@ -222,7 +222,7 @@
 TimeUs QuarantineUntil(const Quarantine& quarantine, const std::string& request, TimeUs now)
 {
     const auto found = quarantine.Requests.find(request);
-    return found != quarantine.Requests.end() && now < found->second.HeldUntilUs ? found->second.HeldUntilUs : 0;
+    return found != quarantine.Requests.end() && now < found->second.QuarantinedUntilUs ? found->second.QuarantinedUntilUs : 0;
 }
 
 int QuarantineEnds(const Quarantine& quarantine, const std::string& request)
@@ -240,7 +240,7 @@
     std::vector<TargetEndNews> updates;
     for (const auto& [key, request] : quarantine.Requests)
     {
-        for (const auto& [target, crash] : request.Ends)
+        for (const auto& [target, crash] : request.Crashes)
         {
             updates.push_back({key, target, now - crash.AtUs, crash.Cleared});
         }
@@ -252,14 +252,14 @@
 {
     const bool names =
         !update.Request.empty() && update.Request.size() <= NameBytesMax && !update.Target.empty() && update.Target.size() <= NameBytesMax;
-    return names && update.AgeUs >= 0 && update.AgeUs < 2 * config.HoldMostUs;
+    return names && update.AgeUs >= 0 && update.AgeUs < 2 * config.QuarantineMaxUs;
 }
 
 // Merges one crash; true if it was new or newly cleared. Keeps the earlier of two times, so that forwarding never makes a crash younger.
 static bool MergeCrash(Quarantine* quarantine, const TargetEndNews& update, TimeUs now)
 {
     SuspectRequest& request = quarantine->Requests[update.Request];
-    const auto [entry, is_new] = request.Ends.emplace(update.Target, TargetEnd{now - update.AgeUs, update.Cleared});
+    const auto [entry, is_new] = request.Crashes.emplace(update.Target, TargetEnd{now - update.AgeUs, update.Cleared});
     TargetEnd& crash = entry->second;
     const bool cleared_since = !is_new && update.Cleared && !crash.Cleared;
     crash.AtUs = std::min(crash.AtUs, now - update.AgeUs);
--- a/winchlink_quota.cpp
+++ b/winchlink_quota.cpp
@@ -64,12 +64,12 @@
 
 bool QuotaName(Quota* quota, uint64_t id, std::optional<double> per_s, TimeUs now)
 {
-    const auto found = quota->Named.find(id);
-    if (!per_s && found == quota->Named.end())
+    const auto found = quota->Limits.find(id);
+    if (!per_s && found == quota->Limits.end())
     {
         return false; // The common case: creates no entry.
     }
-    TargetLimit& known = quota->Named[id];
+    TargetLimit& known = quota->Limits[id];
     const bool same = known.InForce == per_s.has_value() && (!per_s || known.PerS == *per_s);
     known = {per_s.value_or(known.PerS), per_s.has_value(), now};
     return !same;
@@ -77,8 +77,8 @@
 
 const TargetLimit* QuotaNamed(const Quota& quota, uint64_t id)
 {
-    const auto found = quota.Named.find(id);
-    return found != quota.Named.end() && found->second.InForce ? &found->second : nullptr;
+    const auto found = quota.Limits.find(id);
+    return found != quota.Limits.end() && found->second.InForce ? &found->second : nullptr;
 }
 
 TimeUs QuotaNamedTurn(const Quota& quota, uint64_t id)
@@ -89,20 +89,20 @@
 
 static void RemoveExpiredLimits(Quota* quota, TimeUs now)
 {
-    for (auto named = quota->Named.begin(); named != quota->Named.end();)
+    for (auto named = quota->Limits.begin(); named != quota->Limits.end();)
     {
         const TimeUs kept = named->second.InForce ? quota->Config.NamedKeptUs : quota->Config.LiftedKeptUs;
-        const bool old = now - named->second.HeardUs > kept;
-        named = old ? quota->Named.erase(named) : std::next(named);
+        const bool old = now - named->second.ReceivedUs > kept;
+        named = old ? quota->Limits.erase(named) : std::next(named);
     }
 }
 
 static std::vector<TargetLimitUpdate> LimitUpdates(const Quota& quota, TimeUs now)
 {
     std::vector<TargetLimitUpdate> updates;
-    for (const auto& [id, named] : quota.Named)
+    for (const auto& [id, named] : quota.Limits)
     {
-        updates.push_back({id, named.PerS, named.InForce, now - named.HeardUs});
+        updates.push_back({id, named.PerS, named.InForce, now - named.ReceivedUs});
     }
     return updates;
 }
@@ -115,12 +115,12 @@
     {
         const bool valid = IsValidCount(update.PerS) && update.AgeUs >= 0 && update.AgeUs <= quota->Config.NamedKeptUs;
         const TimeUs received = now - update.AgeUs;
-        const auto found = quota->Named.find(update.Id);
-        const bool newer = found == quota->Named.end() || received > found->second.HeardUs;
+        const auto found = quota->Limits.find(update.Id);
+        const bool newer = found == quota->Limits.end() || received > found->second.ReceivedUs;
         if (valid && newer)
         {
-            const bool same = found != quota->Named.end() && found->second.PerS == update.PerS && found->second.InForce == update.InForce;
-            quota->Named[update.Id] = {update.PerS, update.InForce, received};
+            const bool same = found != quota->Limits.end() && found->second.PerS == update.PerS && found->second.InForce == update.InForce;
+            quota->Limits[update.Id] = {update.PerS, update.InForce, received};
             changed = changed || !same;
         }
     }
@@ -178,7 +178,7 @@
             continue;
         }
         count.Admitted += step.Admitted;
-        count.Leaving += age > QuotaUse::Steps - second ? step.Admitted * per_s : 0;
+        count.Expiring += age > QuotaUse::Steps - second ? step.Admitted * per_s : 0;
         last_second += age < second ? step.Wanted : 0;
         before += age >= 1 && age <= second ? step.Wanted : 0;
         recent = age <= 1 ? std::max<double>(recent, step.Wanted) : recent;
@@ -191,7 +191,7 @@
 static void AddTo(QuotaCount* sum, const QuotaCount& count)
 {
     sum->Admitted += count.Admitted;
-    sum->Leaving += count.Leaving;
+    sum->Expiring += count.Expiring;
     sum->Wanted += count.Wanted;
     sum->RecentWanted += count.RecentWanted;
 }
@@ -260,14 +260,14 @@
 
 static double MemberCount(const Quota& quota)
 {
-    const double now = quota.Decides ? quota.Members : quota.Config.MembersDefault;
+    const double now = quota.IsSeed ? quota.Members : quota.Config.MembersDefault;
     return quota.MembersMost > 0 ? quota.MembersMost : now;
 }
 
 // True if no decision was received recently and this instance is not a seed.
 static bool LacksDecision(const Quota& quota, TimeUs now)
 {
-    return !quota.Decides && (quota.ToldUs == 0 || now - quota.ToldUs > quota.Config.ReportExpiryUs);
+    return !quota.IsSeed && (quota.DecisionUs == 0 || now - quota.DecisionUs > quota.Config.ReportExpiryUs);
 }
 
 static double AdmittedSince(const QuotaUse& use, const QuotaConfig& config, TimeUs since)
@@ -300,32 +300,32 @@
 static void RefillAllowance(const Quota& quota, QuotaUse* use, double part, TimeUs now, Random* random)
 {
     const QuotaConfig& config = quota.Config;
-    if (use->AloneUs == 0)
+    if (use->AllowanceUs == 0)
     {
         const double chance = std::min(1.0, config.Slack / (config.PartitionedShare * MemberCount(quota)));
-        use->Alone = std::uniform_real_distribution<double>(0, 1)(*random) < chance ? 1 : 0;
-        use->AloneUs = now;
+        use->Allowance = std::uniform_real_distribution<double>(0, 1)(*random) < chance ? 1 : 0;
+        use->AllowanceUs = now;
     }
-    const double passed = static_cast<double>(now - use->AloneUs) / static_cast<double>(config.WindowUs);
-    use->Alone = std::min(std::max(1.0, part), use->Alone + part * passed);
-    use->AloneUs = now;
+    const double passed = static_cast<double>(now - use->AllowanceUs) / static_cast<double>(config.WindowUs);
+    use->Allowance = std::min(std::max(1.0, part), use->Allowance + part * passed);
+    use->AllowanceUs = now;
 }
 
 // Takes one request from the allowance, if there is one.
 static bool TakeFromAllowance(QuotaUse* use)
 {
-    const bool taken = use->Alone >= 1;
-    use->Alone -= taken ? 1 : 0;
+    const bool taken = use->Allowance >= 1;
+    use->Allowance -= taken ? 1 : 0;
     return taken;
 }
 
 static bool TakeWithoutDecision(Quota* quota, QuotaUse* use, const QuotaLimit& limit, TimeUs now, Random* random)
 {
     RefillAllowance(*quota, use, AdmissionGoal(quota->Config, limit) / MemberCount(*quota), now, random);
-    if (LacksDecision(*quota, now) && use->AllowanceChargedUs != quota->ToldUs)
+    if (LacksDecision(*quota, now) && use->AllowanceChargedUs != quota->DecisionUs)
     {
-        use->Alone -= AdmittedSince(*use, quota->Config, quota->ToldUs); // The rest of the fleet doesn't know of these.
-        use->AllowanceChargedUs = quota->ToldUs;
+        use->Allowance -= AdmittedSince(*use, quota->Config, quota->DecisionUs); // The rest of the fleet doesn't know of these.
+        use->AllowanceChargedUs = quota->DecisionUs;
     }
     return TakeFromAllowance(use);
 }
@@ -336,7 +336,7 @@
 {
     const double part = quota->Config.EvenPartsMax * AdmissionGoal(quota->Config, limit) / MemberCount(*quota);
     RefillAllowance(*quota, use, part, now, random);
-    return use->Alone >= 1 && TakeShare(use, share, random) && TakeFromAllowance(use);
+    return use->Allowance >= 1 && TakeShare(use, share, random) && TakeFromAllowance(use);
 }
 
 static const QuotaDecision* FreshDecision(const Quota& quota, uint64_t id, TimeUs now)
@@ -409,7 +409,7 @@
         {
             count = count->second.AtUs < until ? counts.erase(count) : std::next(count);
         }
-        member = member->second.HeardUs < until ? members->erase(member) : std::next(member);
+        member = member->second.ReceivedUs < until ? members->erase(member) : std::next(member);
     }
 }
 
@@ -427,7 +427,7 @@
 {
     const TimeUs until = now - quota->Config.ReportExpiryUs;
     RemoveExpiredMembers(&quota->Followers, until);
-    RemoveExpiredMembers(&quota->Contacts, until);
+    RemoveExpiredMembers(&quota->Seeds, until);
     RemoveExpiredLimits(quota, now);
     for (auto share = quota->Shares.begin(); share != quota->Shares.end();)
     {
@@ -456,7 +456,7 @@
     const double goal = AdmissionGoal(config, limit) * usable;
     const double unknown = goal * (1 - covered);
     const double even = goal / (static_cast<double>(config.WindowUs) * Seconds);
-    const double leaving = std::min(count.Leaving + even * (1 - covered),
+    const double leaving = std::min(count.Expiring + even * (1 - covered),
                                     even); // Bounded by the even rate, so that a burst that expires is not admitted as a burst again.
     const double correction = (goal - count.Admitted - unknown) / (static_cast<double>(config.CorrectionUs) * Seconds);
     const double rate = std::max(leaving + correction, 0.0);
@@ -518,7 +518,7 @@
 static QuotaFleet UpdateFleet(Quota* quota, TimeUs now)
 {
     QuotaFleet fleet = SubtreeFleet(*quota, now);
-    AddReportedMembers(&fleet, quota->Contacts);
+    AddReportedMembers(&fleet, quota->Seeds);
     UpdateStableFleetSize(quota, fleet.Members, now);
     quota->Members = fleet.Members;
     quota->Covered = std::min(fleet.Covered / fleet.Members, 1.0);
@@ -536,13 +536,13 @@
     }
     quota->DecidedUs = now;
     RemoveExpired(quota, now);
-    if (!quota->Decides)
+    if (!quota->IsSeed)
     {
         return false;
     }
     const QuotaFleet fleet = UpdateFleet(quota, now);
     QuotaSums sums = SubtreeSums(*quota, now);
-    AddReportedCounts(&sums, quota->Contacts);
+    AddReportedCounts(&sums, quota->Seeds);
     const double usable = quota->MembersMost > 0 ? std::min(fleet.Members / quota->MembersMost, 1.0) : 1;
     bool changed_much = false;
     for (auto& entry : quota->Shares)
@@ -586,7 +586,7 @@
 
 TimeUs QuotaReportIn(const Quota& quota)
 {
-    const bool forwards = quota.Decides || !quota.Followers.empty();
+    const bool forwards = quota.IsSeed || !quota.Followers.empty();
     return forwards ? quota.Config.ForwardUs : quota.Config.ReportUs;
 }
 
@@ -624,7 +624,7 @@
     AppendLimits(quota, &reports, reports.back().Entries.size(), now);
     for (QuotaReport& report : reports)
     {
-        report.Most = FleetSizeOf(quota, now);
+        report.FleetSize = FleetSizeOf(quota, now);
         report.Members = fleet.Members;
         report.Covered = fleet.Covered;
     }
@@ -635,7 +635,7 @@
 {
     const auto valid = [](const QuotaReportEntry& entry)
     {
-        return IsValidCount(entry.Count.Admitted) && IsValidCount(entry.Count.Leaving) && IsValidCount(entry.Count.Wanted) &&
+        return IsValidCount(entry.Count.Admitted) && IsValidCount(entry.Count.Expiring) && IsValidCount(entry.Count.Wanted) &&
                IsValidCount(entry.Count.RecentWanted);
     };
     const bool whole = std::all_of(report.Entries.begin(), report.Entries.end(), valid);
@@ -644,28 +644,28 @@
 
 bool QuotaHeardReport(Quota* quota, const std::string& from, const QuotaReport& report, bool from_seed, TimeUs now)
 {
-    if (!IsValid(report) || (from_seed && !quota->Decides))
+    if (!IsValid(report) || (from_seed && !quota->IsSeed))
     {
         return false;
     }
-    QuotaMember& member = (from_seed ? quota->Contacts : quota->Followers)[from];
-    const bool unknown = member.HeardUs == 0;
-    UpdateFleetSize(quota, report.Most, now);
-    ApplyLimitUpdates(quota, report.Named, now);
-    (from_seed ? quota->Followers : quota->Contacts).erase(from); // It may have become a seed, or ceased to be one.
-    member.HeardUs = now;
+    QuotaMember& member = (from_seed ? quota->Seeds : quota->Followers)[from];
+    const bool unknown = member.ReceivedUs == 0;
+    UpdateFleetSize(quota, report.FleetSize, now);
+    ApplyLimitUpdates(quota, report.Limits, now);
+    (from_seed ? quota->Followers : quota->Seeds).erase(from); // It may have become a seed, or ceased to be one.
+    member.ReceivedUs = now;
     member.Members = report.Members;
     member.Covered = report.Covered;
     for (const QuotaReportEntry& entry : report.Entries)
     {
-        member.Counts[entry.Customer] = {entry.Count, now};
+        member.Counts[entry.Id] = {entry.Count, now};
     }
     return unknown;
 }
 
 std::vector<QuotaAnswer> QuotaAnswers(const Quota& quota, TimeUs now)
 {
-    const bool undecided = quota.Decides && quota.DecidedUs == 0;
+    const bool undecided = quota.IsSeed && quota.DecidedUs == 0;
     if (LacksDecision(quota, now) || undecided)
     {
         return {};
@@ -682,7 +682,7 @@
     AppendLimits(quota, &answers, answers.back().Shares.size(), now);
     for (QuotaAnswer& answer : answers)
     {
-        answer.Most = FleetSizeOf(quota, now);
+        answer.FleetSize = FleetSizeOf(quota, now);
         answer.Covered = quota.Covered;
     }
     return answers;
@@ -690,20 +690,20 @@
 
 bool QuotaHeardAnswer(Quota* quota, const QuotaAnswer& answer, TimeUs now)
 {
-    if (quota->Decides || !IsValidCount(answer.Covered))
+    if (quota->IsSeed || !IsValidCount(answer.Covered))
     {
         return false;
     }
     bool forward = LacksDecision(*quota, now);
-    quota->ToldUs = now;
-    UpdateFleetSize(quota, answer.Most, now);
-    forward = ApplyLimitUpdates(quota, answer.Named, now) || forward;
+    quota->DecisionUs = now;
+    UpdateFleetSize(quota, answer.FleetSize, now);
+    forward = ApplyLimitUpdates(quota, answer.Limits, now) || forward;
     quota->Covered = answer.Covered;
     for (const QuotaShare& entry : answer.Shares)
     {
         if (IsValidCount(entry.Share) && entry.Share <= 1)
         {
-            forward = SetShare(quota, entry.Customer, entry.Share, now) || forward;
+            forward = SetShare(quota, entry.Id, entry.Share, now) || forward;
         }
     }
     return forward;
--- a/winchlink_returns.cpp
+++ b/winchlink_returns.cpp
@@ -28,9 +28,9 @@
     DecayServed(schedule, now);
     constexpr double min_served = 0.5; // Lower bound, for times in which nothing was served.
     const double interval = static_cast<double>(schedule->ServedDecayUs) / (schedule->Share * std::max(schedule->Served, min_served));
-    const TimeUs nearest = std::max(schedule->NextUs, now + schedule->LeastUs);
-    schedule->NextUs = std::min(nearest + static_cast<TimeUs>(interval), now + schedule->MostUs);
-    const double jitter = std::uniform_real_distribution<double>(1 - schedule->Spread, 1 + schedule->Spread)(*random);
+    const TimeUs nearest = std::max(schedule->NextUs, now + schedule->MinUs);
+    schedule->NextUs = std::min(nearest + static_cast<TimeUs>(interval), now + schedule->MaxUs);
+    const double jitter = std::uniform_real_distribution<double>(1 - schedule->Jitter, 1 + schedule->Jitter)(*random);
     return static_cast<TimeUs>(jitter * static_cast<double>(nearest - now));
 }
 
--- a/winchlink_silent.cpp
+++ b/winchlink_silent.cpp
@@ -22,7 +22,7 @@
 // Whether a crash detected at time `detected_us` can have happened during the attempt.
 static bool CanExplain(const SilentEnds& silent, const SilentAttempt& attempt, TimeUs detected_us)
 {
-    return detected_us >= attempt.SentUs && detected_us < attempt.SentUs + silent.WithinUs;
+    return detected_us >= attempt.SentUs && detected_us < attempt.SentUs + silent.DetectionMaxUs;
 }
 
 template <class Entries, class Condition> static void RemoveIf(Entries* entries, const Condition& condition)
@@ -46,7 +46,7 @@
 {
     const auto crashed_during_attempt = [&](const SilentTarget& target)
     {
-        return target.Target == attempt.Target && CanExplain(*silent, attempt, target.LearntUs);
+        return target.Target == attempt.Target && CanExplain(*silent, attempt, target.DetectedUs);
     };
     if (std::any_of(silent->Targets.begin(), silent->Targets.end(), crashed_during_attempt))
     {
@@ -55,7 +55,7 @@
     if (CanExplain(*silent, attempt, now))
     {
         silent->Attempts.push_back(attempt);
-        LimitSize(&silent->Attempts, silent->Most);
+        LimitSize(&silent->Attempts, silent->EntriesMax);
     }
     return false;
 }
@@ -70,7 +70,7 @@
     std::copy_if(silent->Attempts.begin(), silent->Attempts.end(), std::back_inserter(affected), crashed_during_attempt);
     RemoveIf(&silent->Attempts, crashed_during_attempt);
     silent->Targets.push_back({target, now});
-    LimitSize(&silent->Targets, silent->Most);
+    LimitSize(&silent->Targets, silent->EntriesMax);
     return affected;
 }
 
@@ -82,7 +82,7 @@
 void SilentForget(SilentEnds* silent, TimeUs now)
 {
     RemoveIf(&silent->Attempts, [&](const SilentAttempt& attempt) { return !CanExplain(*silent, attempt, now); });
-    RemoveIf(&silent->Targets, [&](const SilentTarget& target) { return now >= target.LearntUs + silent->KeptUs; });
+    RemoveIf(&silent->Targets, [&](const SilentTarget& target) { return now >= target.DetectedUs + silent->RetentionUs; });
 }
 
 } // namespace Winchlink
--- a/winchlink_table.cpp
+++ b/winchlink_table.cpp
@@ -128,13 +128,13 @@
 
 static void CheckMethods(const ServiceRow& row, const std::string& where, std::vector<Fault>* faults)
 {
-    if (row.RepeatMethods.size() > RowMethodsMax)
+    if (row.RetryMethods.size() > RowMethodsMax)
     {
         faults->push_back({Code_TableOutOfRange, where + ".repeatMethods", "at most 16 methods"});
     }
-    for (size_t n = 0; n < row.RepeatMethods.size(); n++)
+    for (size_t n = 0; n < row.RetryMethods.size(); n++)
     {
-        const std::string& method = row.RepeatMethods[n];
+        const std::string& method = row.RetryMethods[n];
         const bool upper = std::all_of(method.begin(), method.end(), [](char c) { return c >= 'A' && c <= 'Z'; });
         if (method.empty() || method.size() > MethodMax || !upper)
         {
@@ -186,8 +186,8 @@
     CheckRange(row.ConnectionsPerInstance, 1, 100000, where + ".connectionsPerInstance", faults);
     CheckRange(row.RequestsPerInstance, 0, 1000000, where + ".requestsPerInstance", faults);
     CheckRange(row.DeadlineMs, 1, deadline_max_ms, where + ".deadlineMs", faults);
-    CheckRange(row.AimMs, 0, deadline_max_ms, where + ".aimMs", faults);
-    CheckRange(row.AttemptsMost, 1, 10, where + ".attemptsMost", faults);
+    CheckRange(row.LatencyObjectiveMs, 0, deadline_max_ms, where + ".aimMs", faults);
+    CheckRange(row.AttemptsMax, 1, 10, where + ".attemptsMost", faults);
     CheckMethods(row, where, faults);
     CheckTargets(row, where, faults);
 }
@@ -270,17 +270,17 @@
 
 static Route MakeRoute(const ServiceRow& row)
 {
-    const int objective_ms = row.AimMs > 0 ? row.AimMs : row.DeadlineMs / 2;
+    const int objective_ms = row.LatencyObjectiveMs > 0 ? row.LatencyObjectiveMs : row.DeadlineMs / 2;
     Route route;
     route.Name = row.Name;
     route.Host = row.Host;
     route.PathPrefix = row.PathPrefix;
     route.Parts = {{row.Name, 1}};
-    route.RepeatMethods = row.RepeatMethods;
+    route.RetryMethods = row.RetryMethods;
     route.TimeoutUs = row.DeadlineMs * UsPerMs;
-    route.AimUs = objective_ms * UsPerMs;
+    route.LatencyObjectiveUs = objective_ms * UsPerMs;
     route.Priority = row.Class;
-    route.AttemptsMost = row.AttemptsMost;
+    route.AttemptsMax = row.AttemptsMax;
     return route;
 }
 
