--- a/bench/soak.h
+++ b/bench/soak.h
@@ -1,10 +1,15 @@
-// soak.h: a randomised run of real gateway processes under faults from outside them.
+// soak.h: a randomised run of real gateway processes with faults injected from outside.
 //
-// The store, the targets, a proxy before each of them for each instance, and the callers live in this process's event loop. Instances are
-// killed, paused, stopped, told to reload and restarted by signals; connections are delayed, silenced, cut one way and reset; the store
-// refuses, falls silent and forgets; targets lose and spoil answers, leave, vanish, turn cold and come back under another id or the same;
-// requests end the targets that run them; another writer spoils entries; data centres are evacuated; configurations come singly and in
-// storms. All is drawn from a seed. soak_audit.h says what is checked. It ends only processes that it started.
+// The simulated store, the simulated targets, the proxies before them and the callers run in the event loop of this process; the instances
+// are child processes. The faults are drawn from a seed:
+// - instances are killed, paused, stopped, reloaded and restarted by signals, and cut off from the store;
+// - connections are delayed, stalled, cut in one direction and reset;
+// - the store refuses calls, leaves them unanswered and drops its history;
+// - targets send wrong answers or none, drain, lose their entries, turn cold, limit or refuse requests, and restart under the same id;
+// - requests crash the targets that run them;
+// - target entries are overwritten with invalid ones, data centres are evacuated, configurations change singly and in bursts.
+//
+// soak_audit.h declares the checks. Only processes that the soak started are killed.
 //
 // Index of this file:
 // [SECTION] Plan
@@ -26,12 +31,12 @@
 // [SECTION] Plan
 //-----------------------------------------------------------------------------
 
-// What is done to the system.
+// Which faults are injected.
 enum SoakFaults_ : int
 {
-    SoakFaults_All,        // Everything, drawn from the seed.
-    SoakFaults_Roll,       // Planned stops only, one instance after the other.
-    SoakFaults_KilledRoll, // The same, but instances are killed and the log says that they were stopped: the audit must find it.
+    SoakFaults_All,        // All kinds, drawn from the seed.
+    SoakFaults_Roll,       // Only planned stops, one instance after the other.
+    SoakFaults_KilledRoll, // Instances are killed but logged as planned stops, which the audit must detect.
     SoakFaults_COUNT,
 };
 
@@ -40,42 +45,42 @@
     std::string Program; // Path of the winchlink program.
     SoakFaults_ Faults = SoakFaults_All;
     int Seed = 1;
-    int Seconds = 20; // Length of the faults.
+    int Seconds = 20; // Time during which faults are injected.
     int Instances = 4;
-    int Callers = 24;     // More than the targets of one service can serve would be refused, whatever the instances do.
-    int BatchCallers = 3; // Of them, some that send requests ahead.
+    int Callers = 24;     // Few enough that the targets of one service have the capacity for all.
+    int BatchCallers = 3; // Callers that pipeline requests, in addition to Callers.
 };
 
 struct SoakResult
 {
     SoakLog Log;
-    std::string Folder;               // Of settings and logs.
-    std::map<std::string, int> Drawn; // Faults, by name.
+    std::string Folder;               // Settings and logs of the instances.
+    std::map<std::string, int> Drawn; // Number of faults, by name.
 };
 
-// Plays one seed. No result if the stand-ins can't listen.
+// Runs one seed. No result if the folder can't be created or the store can't listen.
 std::optional<SoakResult> PlaySoak(const SoakPlan& plan);
 
 //-----------------------------------------------------------------------------
 // [SECTION] Parts
 //-----------------------------------------------------------------------------
 
-inline constexpr TimeUs SoakGraceUs = 4 * UsPerSecond;               // Given to instances that are stopped.
-inline constexpr const char* SoakEndingPrefix = "/a/ends-";          // Paths of requests that end the targets that run them.
-inline constexpr const char* SoakInstanceHeader = "X-Soak-Instance"; // Of a request: the instance that it was sent to.
+inline constexpr TimeUs SoakGraceUs = 4 * UsPerSecond;               // Grace time of stopped instances.
+inline constexpr const char* SoakEndingPrefix = "/a/ends-";          // Prefix of the paths whose requests crash the target that runs them.
+inline constexpr const char* SoakInstanceHeader = "X-Soak-Instance"; // Request header: index of the instance that the request was sent to.
 
 struct SoakInstance
 {
     int Index = 0;
-    std::string Folder; // Settings and log.
+    std::string Folder; // Holds its settings and log.
     std::string CallerAddress;
     std::string PeerAddress;
     Proxy ToStore;
     pid_t Pid = -1;       // -1: not running.
-    bool Ending = false;  // We have ended it, or asked it to end.
-    bool Leaving = false; // No new callers.
-    size_t Trouble = 0;   // Index of its open trouble plus one; 0: none.
-    Timer Next;           // Restart, wake, or kill after the grace time.
+    bool Ending = false;  // The soak has killed or stopped it.
+    bool Leaving = false; // Gets no new requests from callers.
+    size_t Trouble = 0;   // Index in Log.Troubles of its open disruption plus one; 0: none.
+    Timer Next;           // Pending restart, resume, reconnection, or kill after the grace time.
 };
 
 struct SoakTarget
@@ -84,44 +89,45 @@
     Proxy Before;
     std::string Service;
     std::string Zone;
-    bool Listed = true; // Its entry is in the store.
-    bool Down = false;  // It has ended, and will start again under its id.
+    bool Listed = true; // Its entry belongs in the store, even while a fault removes it for a time.
+    bool Down = false;  // Stopped or crashed; restarts under the same id.
     Timer Next;
-    size_t Counted = 0; // Requests that are in the log already.
+    size_t Counted = 0; // Requests of Part.Saw that have been copied to Log.Arrivals.
 };
 
 struct Soak
 {
     EventLoop Loop;
     Random Rng;
-    Random SparedRng; // For targets in need, so that the others draw for seeds what they always drew.
-    Random EndsRng;   // For requests that end targets and for starts under the same id, so that Rng draws for seeds what it always drew.
+    Random SparedRng; // For soak_spared.cpp, so that its draws don't shift those of Rng.
+    Random EndsRng;   // For soak_ends.cpp, so that its draws don't shift those of Rng.
     UsersStore Store;
     std::vector<std::unique_ptr<SoakInstance>> Instances;
-    std::vector<std::unique_ptr<SoakTarget>> Targets; // Never shrinks: the audit needs what all have seen.
+    std::vector<std::unique_ptr<SoakTarget>> Targets; // Never shrinks: the audit needs the requests of stopped targets too.
     Client Callers;
     SoakLog Log;
     SoakPlan Plan;
-    std::string Folder;   // Settings and logs.
-    int DatagramPort = 0; // Of all instances, each at an address of its own.
+    std::string Folder;   // Holds the instances' folders.
+    int DatagramPort = 0; // Same for all instances, which have different IP addresses.
     uint64_t Version = 0;
     int LastRequest = 0;
     int LastTarget = 0;
     bool Striking = true;
     bool Calling = true;
-    size_t StoreTrouble = 0;              // Index of the open trouble plus one.
-    std::map<std::string, size_t> Spoilt; // Targets whose entries are spoilt, with the index in Log.Leavings.
-    std::vector<Timer> Pauses;            // Of callers and scheduled ends of faults.
-    std::map<std::string, int> Drawn;     // Faults, by name.
+    size_t StoreTrouble = 0;              // Index in Log.Troubles of the store's open disruption plus one; 0: none.
+    std::map<std::string, size_t> Spoilt; // Ids of targets with an invalid entry, with the index in Log.Leavings.
+    std::vector<Timer> Pauses;            // Timers started by Later().
+    std::map<std::string, int> Drawn;     // Number of faults, by name.
 };
 
+// Draw uniformly from Rng, bounds included.
 int64_t Between(Soak* soak, int64_t least, int64_t most);
 TimeUs MsBetween(Soak* soak, int64_t least, int64_t most);
 
-// Runs something after a while.
+// Runs a function after a delay.
 void Later(Soak* soak, TimeUs delay, std::function<void()> run);
 
-// Opens a span of trouble and returns its index plus one.
+// Logs the start of a disruption and returns its index plus one; instance -1 is the store.
 size_t OpenTrouble(Soak* soak, int instance, bool planned);
 void CloseTrouble(Soak* soak, size_t* index);
 
@@ -129,38 +135,38 @@
 void StartInstance(Soak* soak, SoakInstance* instance);
 SoakTarget* AddTarget(Soak* soak, const std::string& service);
 
-// Another start of the target under its id, at another address; `born`: see UsersStoreTarget().
+// Starts a new process of the target under the same id at another address; `born`: see UsersStoreTarget().
 SoakTarget* StartAgain(Soak* soak, const SoakTarget& former, uint64_t born);
 
 // Publishes the next configuration.
 void Configure(Soak* soak);
 
-// An instance that takes new callers, by chance; null if there is none.
+// A random running instance that takes new callers; null if there is none.
 SoakInstance* PickInstance(Soak* soak);
 
-// A request of a kind drawn by chance to the instance, as of now; not in the log yet.
+// A request of random kind to the instance, with the current time; not logged yet.
 SoakRequest DrawSoakRequest(Soak* soak, const SoakInstance& instance);
 
-// Sends a request, and another one a while after its answer, until callers are told to end.
+// Sends a request, and the next one some time after its answer, while Calling is set.
 void Ask(Soak* soak);
 
-// Sends some requests on one connection before the first is answered, and again a while after the last answer.
+// Pipelines a batch of requests on one connection, and the next batch some time after the last answer, while Calling is set.
 void AskInBatches(Soak* soak);
 
 //-----------------------------------------------------------------------------
 // [SECTION] Faults
 //-----------------------------------------------------------------------------
 
-// Strikes again and again until told to end.
+// Injects the faults of soak_faults.cpp while Striking is set.
 void Strike(Soak* soak);
 
-// Has requests end targets, starts those again under their ids, and spoils entries, until told to end.
+// Injects requests that crash targets, target restarts under the same id and invalid entries, while Striking is set.
 void StrikeByEnds(Soak* soak);
 
-// Targets in need: they name limits, refuse and want nothing, say that they leave.
+// Injects target signals: rate limits, refusals with Retry-After and announced drains, while Striking is set.
 void StrikeBySpared(Soak* soak);
 
-// Takes note of processes that have ended, and starts those again that we have ended.
+// Polls for instances that have exited, logs unexpected exits, and restarts all of them after a delay.
 void Reap(Soak* soak);
 
 } // namespace Winchlink
--- a/bench/soak_audit.h
+++ b/bench/soak_audit.h
@@ -1,4 +1,4 @@
-// soak_audit.h: what a soak of instances saw, and the checks on it. Pure, so that tests can plant each fault.
+// soak_audit.h: the log of a soak and the checks on it. Free of I/O, so that tests can check logs that contain each breach.
 
 #pragma once
 
@@ -10,79 +10,80 @@
 namespace Winchlink
 {
 
-// A request as its caller saw it.
+// A request as recorded by its caller.
 struct SoakRequest
 {
     std::string Id;
     bool Repeatable = false;
-    int Instance = -1;        // Which instance it was sent to.
+    int Instance = -1;        // Index of the instance that it was sent to.
     std::string Path;         //
     TimeUs SentUs = 0;        //
-    TimeUs EndedUs = 0;       // 0: not yet.
-    int Status = 0;           // 0: no whole answer.
-    bool OwnAnswer = false;   // A success is signed, whole, and names the request's method and path.
-    bool NotRead = false;     // It stood behind an answer that closed its connection: to its caller it was not read.
-    bool MovingRoute = false; // It went to the route whose service changes with each configuration.
+    TimeUs EndedUs = 0;       // Time of the answer or failure; 0: none yet, or the caller gave up.
+    int Status = 0;           // 0: no complete answer.
+    bool OwnAnswer = false;   // The answer is signed, and its body names the request's method and path.
+    bool NotRead = false;     // Pipelined behind an answer that closed the connection; must not have run.
+    bool MovingRoute = false; // Sent to the route whose service changes with each configuration.
 };
 
-// A request as a target saw it.
+// An arrival of a request at a target.
 struct SoakArrival
 {
     std::string Id;
-    std::string Target;     // Its id.
+    std::string Target;     // Id of the target.
     std::string Service;    //
-    int Instance = -1;      // From which instance.
+    int Instance = -1;      // Index of the instance that sent it; -1: unknown.
     TimeUs AtUs = 0;        //
-    bool Run = false;       // Work began.
+    bool Run = false;       // The target started to process it.
     std::string DataCentre; // Of the target.
 };
 
-// A span in which something was done to an instance or to the store.
+// A time span in which a fault disrupts an instance or the store.
 struct SoakTrouble
 {
     int Instance = -1; // -1: the store.
     TimeUs FromUs = 0;
     TimeUs UntilUs = 0;
-    bool Planned = false; // A planned stop, and nothing else.
+    bool Planned = false; // A planned stop without any other fault.
 };
 
+// A published configuration.
 struct SoakVersion
 {
-    std::string Service; // Of the moving route.
-    TimeUs AtUs = 0;     // Acknowledged by the store.
+    std::string Service; // Service of the route that changes with each configuration.
+    TimeUs AtUs = 0;     // Time at which the store held it.
 };
 
-// A target that leaves, or whose entry another writer has spoilt.
+// A target that drains, or whose entry was overwritten with an invalid one.
 struct SoakLeaving
 {
     std::string Target;
-    TimeUs AtUs = 0;                                     // Acknowledged by the store.
-    TimeUs UntilUs = std::numeric_limits<TimeUs>::max(); // Its entry is good again.
+    TimeUs AtUs = 0;                                     // Time at which the store held the change, or the target first announced it.
+    TimeUs UntilUs = std::numeric_limits<TimeUs>::max(); // Time at which the entry is valid again, or the target restarts.
 };
 
-// A target that has ended under a request.
+// A crash of a target while it ran a request.
 struct SoakEnd
 {
-    std::string Path; // Of the request.
+    std::string Path; // Path of the request.
     TimeUs AtUs = 0;
 };
 
 struct SoakEvacuation
 {
     std::string DataCentre;
-    TimeUs FromUs = 0;  // Acknowledged by the store.
-    TimeUs UntilUs = 0; // Given back.
+    TimeUs FromUs = 0;  // Time at which the store held it.
+    TimeUs UntilUs = 0; // End of the evacuation.
 };
 
-// A target that has turned cold.
+// A time span in which a target is cold.
 struct SoakCold
 {
     std::string Target;
-    TimeUs FromUs = 0; // It says so to whoever asks.
+    TimeUs FromUs = 0; // From then on its health answers report it.
     TimeUs UntilUs = 0;
 };
 
-// A target that names a limit in its answers.
+// A time span in which a target's answers carry a rate limit.
 struct SoakLimit
 {
     std::string Target;
@@ -91,14 +92,14 @@
     TimeUs UntilUs = 0;
 };
 
-// A target that refuses every request, and wants nothing for so long after each from the instance that sent it.
+// A time span in which a target refuses every request with Retry-After.
 struct SoakRest
 {
     std::string Target;
-    TimeUs RestUs = 0;
+    TimeUs RestUs = 0; // Retry-After: the sending instance must pause for so long after each refusal.
     TimeUs FromUs = 0;
     TimeUs UntilUs = 0;
-    TimeUs NextStartUs = std::numeric_limits<TimeUs>::max(); // Another start of it, which wants requests again.
+    TimeUs NextStartUs = std::numeric_limits<TimeUs>::max(); // Its next restart, which ends the pauses.
 };
 
 struct SoakLog
@@ -106,45 +107,45 @@
     std::vector<SoakRequest> Requests;
     std::vector<SoakArrival> Arrivals;
     std::vector<SoakTrouble> Troubles;
-    std::vector<SoakVersion> Versions; // In order.
-    std::vector<SoakLeaving> Leavings;
+    std::vector<SoakVersion> Versions; // In order of publication.
+    std::vector<SoakLeaving> Leavings; // Published in the store.
     std::vector<SoakEvacuation> Evacuations;
     std::vector<SoakCold> Colds;
-    std::vector<SoakEnd> Ends; // In order.
+    std::vector<SoakEnd> Ends; // In order of time.
     std::vector<SoakLimit> Limits;
     std::vector<SoakRest> Rests;
-    std::vector<SoakLeaving> SaidLeaving; // In their answers; acknowledged by nobody.
+    std::vector<SoakLeaving> SaidLeaving; // Announced only in the targets' answers.
     int Instances = 0;
-    int OwnEnds = 0;       // Instances that ended by themselves.
-    int ForeignBytes = 0;  // Connections on which more came than answers to what was asked.
+    int OwnEnds = 0;       // Instances that exited unexpectedly.
+    int ForeignBytes = 0;  // Connections on which bytes beyond the expected answers arrived.
     int LateEnds = 0;      // Instances that had to be killed after their grace time.
-    int RecoveryAsked = 0; // After all faults.
+    int RecoveryAsked = 0; // Requests sent after all faults have ended.
     int RecoveryGood = 0;
 };
 
-// The bounds of the users' pages that the checks go by.
+// Bounds of the checks.
 struct SoakBounds
 {
-    TimeUs DrainUs = 2 * UsPerSecond;
-    TimeUs ApplyUs = 2 * UsPerSecond;
-    TimeUs EvacuateUs = 2 * UsPerSecond;    // Stricter than the users' 5 s.
-    TimeUs ColdSeenUs = 300 * UsPerMs;      // Requests that were on their way when a target turned cold have arrived.
-    double ColdInASecond = 2.5 * 1.5 + 8;   // Requests that a cold target may get in any second, from all instances.
-    TimeUs TouchUs = 3 * UsPerSecond;       // An instance counts after so long without trouble.
-    TimeUs HeardUs = 500 * UsPerMs;         // What an instance sent before an answer came has arrived.
-    TimeUs LimitSpreadUs = 3 * UsPerSecond; // A limit binds so long after it was first named,
-    TimeUs LimitWindowUs = 4 * UsPerSecond; // in any such window,
-    double LimitOverage = 1.5;              // up to so many times itself
-    double LimitSlack = 5;                  // and so many requests more.
-    size_t RestMost = 2;                    // Requests to a target that wants nothing from an instance.
-    TimeUs WindowUs = 10 * UsPerSecond;     // Of the repeat budget.
-    double RepeatShare = 0.2;               //
-    int RepeatExtra = 2;                    // Repeats beyond it, an instance and service.
-    size_t EndsMost = 3;         // Targets that may end under a request; so many times is it sent on later than TouchUs after that.
-    double RecoveryShare = 0.95; // Of the requests after all faults are served.
+    TimeUs DrainUs = 2 * UsPerSecond;       // Time until instances must apply a drain.
+    TimeUs ApplyUs = 2 * UsPerSecond;       // Time until instances must apply a configuration.
+    TimeUs EvacuateUs = 2 * UsPerSecond;    // Time until instances must apply an evacuation.
+    TimeUs ColdSeenUs = 300 * UsPerMs;      // Time after a target turned cold during which arrivals are not checked.
+    double ColdInASecond = 2.5 * 1.5 + 8;   // Maximum arrivals at a cold target in any second, from all instances.
+    TimeUs TouchUs = 3 * UsPerSecond;       // An instance is checked only after so long without a disruption.
+    TimeUs HeardUs = 500 * UsPerMs;         // Time after which requests sent before an answer was received have arrived.
+    TimeUs LimitSpreadUs = 3 * UsPerSecond; // A rate limit is checked so long after it was first sent:
+    TimeUs LimitWindowUs = 4 * UsPerSecond; // in any window of this length, arrivals are at most
+    double LimitOverage = 1.5;              // the limit times this factor,
+    double LimitSlack = 5;                  // plus this number.
+    size_t RestMost = 2;                    // Maximum arrivals from one instance within the Retry-After time of a refusal.
+    TimeUs WindowUs = 10 * UsPerSecond;     // Window of the retry budget.
+    double RepeatShare = 0.2;               // Maximum share of retries in the first attempts of a window.
+    int RepeatExtra = 2;                    // Further retries per instance and service.
+    size_t EndsMost = 3;                    // Crashes after which a path is quarantined; maximum arrivals later than TouchUs after that.
+    double RecoveryShare = 0.95;            // Minimum share of successes among the requests sent after all faults.
 };
 
-// One line for each broken promise, the first of each kind with its request.
+// One line for each kind of breach, with the number of breaches and the first request or target.
 std::vector<std::string> AuditSoak(const SoakLog& log, const SoakBounds& bounds);
 
 } // namespace Winchlink
