--- a/bench/users_target.cpp
+++ b/bench/users_target.cpp
@@ -1,4 +1,4 @@
-// users_target.cpp: a stand-in of the users' targets on bare sockets.
+// users_target.cpp: a simulated target on plain sockets.
 //
 // Index of this file:
 // [SECTION] Connections
@@ -31,10 +31,10 @@
 {
     uint64_t Id = 0;
     int Socket = -1;
-    std::string Read;     // Bytes not taken yet.
-    bool Busy = false;    // A request is in work or waits.
-    size_t Request = 0;   // Its index in Saw.
-    size_t SkipBytes = 0; // Of a body that was answered before it was read.
+    std::string Read;     // Bytes not parsed yet.
+    bool Busy = false;    // Its request is being processed or queued.
+    size_t Request = 0;   // Index of its latest request in Saw.
+    size_t SkipBytes = 0; // Bytes left of a body that was answered before it was read.
     Watch Readable;
     Timer Work;
     Timer Later;
@@ -61,7 +61,7 @@
 
 static void Write(const TargetConnection& connection, const std::string& bytes)
 {
-    // Answers are small: what the socket does not take is lost, and the test that needs more fails.
+    // Answers fit the socket's buffer; bytes that don't are dropped.
     const ssize_t written = send(connection.Socket, bytes.data(), bytes.size(), MSG_NOSIGNAL);
     (void)written;
 }
@@ -78,7 +78,7 @@
 // [SECTION] Answers
 //-----------------------------------------------------------------------------
 
-// A header line; nothing where the interface has no such header.
+// A header line; empty if the protocol has no such header.
 static std::string Line(const std::string& name, const std::string& value)
 {
     return name.empty() ? "" : name + ": " + value + "\r\n";
@@ -90,7 +90,7 @@
     return target.TellsLoad ? Line(target.Names.Load, load) : "";
 }
 
-// What the target says of itself in an answer with that status.
+// Header lines with the load report and the configured signals for an answer with this status.
 static std::string Sayings(const UsersTarget& target, int status)
 {
     std::string text = Load(target);
@@ -125,7 +125,7 @@
     return head + fmt::format("Content-Length: {}\r\n\r\n{}", body.size(), body);
 }
 
-// The bytes of an answer, for acts that send one.
+// The bytes of an answer, for behaviours that send one.
 static std::string AnswerBytes(const UsersTarget& target, const TargetSaw& request, TargetAct_ act)
 {
     const std::string signature = Signature(target, request);
@@ -359,7 +359,7 @@
     return length != nullptr ? std::strtoull(length->c_str(), nullptr, 10) : 0;
 }
 
-// Takes one request from what was read. False if there is none that is whole.
+// Parses and handles one request. False if no complete one is left to handle, or its connection was reset.
 static bool TakeRequest(UsersTarget* target, TargetConnection* connection)
 {
     std::string& read = connection->Read;
@@ -407,7 +407,7 @@
     }
 }
 
-// The other side closed: work on its request stops.
+// The peer closed the connection: cancels its request.
 static void OnClosed(UsersTarget* target, uint64_t id)
 {
     TargetConnection* connection = FindConnection(target, id);
--- a/bench/users_target.h
+++ b/bench/users_target.h
@@ -1,8 +1,8 @@
-// users_target.h: a stand-in of targets on bare sockets, written from the users' published protocol, that misbehaves as told. With other
-// header names it stands in for targets of the project's own interface (docs/TARGETS.md).
+// users_target.h: a simulated target on plain sockets with scripted faults. It uses the platform's header names by default; with other
+// Names it simulates a target of winchlink's own interface (docs/TARGETS.md).
 //
-// It runs inside an event loop. It works on so many requests at a time as it has slots and queues a few more; each request takes WorkUs.
-// Faults strike the requests that a script names, in order.
+// It runs inside an event loop, processes up to Slots requests at a time for WorkUs each, and queues up to Queue more. Script holds the
+// behaviour for the next requests, in order.
 
 #pragma once
 
@@ -15,41 +15,41 @@
 namespace Winchlink
 {
 
-// How one request is answered.
+// Behaviour for one request.
 enum TargetAct_ : int
 {
     TargetAct_Good,
-    TargetAct_Failed,        // Status 500, signed: it was run.
-    TargetAct_Shed,          // Status 503 that says that it was not run.
-    TargetAct_BareShed,      // Status 503 that does not say so: it was run.
+    TargetAct_Failed,        // Runs it and answers with status 500, signed.
+    TargetAct_Shed,          // Does not run it; status 503 marked as not executed.
+    TargetAct_BareShed,      // Runs it; status 503, signed, not marked as not executed.
     TargetAct_Reset,         // Runs it and resets the connection.
     TargetAct_Close,         // Runs it and closes the connection without an answer.
     TargetAct_Silence,       // Runs it and never answers.
-    TargetAct_Garbage,       // Bytes that are no HTTP.
-    TargetAct_CutShort,      // Announces more than it sends, then closes.
-    TargetAct_Unsigned,      // A success without signature.
-    TargetAct_Encoded,       // A success with a Content-Encoding.
-    TargetAct_Surplus,       // A second answer behind the whole one.
-    TargetAct_LateSurplus,   // A second answer behind the whole one, a little later.
-    TargetAct_OtherId,       // An answer that names another request.
-    TargetAct_NoLength,      // A good answer without length that ends with the connection.
-    TargetAct_NoLengthReset, // The same, but it ends with a reset.
-    TargetAct_Closing,       // A good answer, after which it closes the connection, as it says.
-    TargetAct_Trailers,      // A good answer behind an interim one and before trailers, both of which name a limit.
-    TargetAct_Early,         // Answers 400, signed, before it has read the body, and reads on.
+    TargetAct_Garbage,       // Sends bytes that are not HTTP.
+    TargetAct_CutShort,      // Content-Length is larger than the body; then closes the connection.
+    TargetAct_Unsigned,      // Status 200 without a signature.
+    TargetAct_Encoded,       // Status 200 with a Content-Encoding.
+    TargetAct_Surplus,       // A second answer directly after the complete one.
+    TargetAct_LateSurplus,   // A second answer some milliseconds after the complete one.
+    TargetAct_OtherId,       // The answer carries the id of another request.
+    TargetAct_NoLength,      // A good answer without Content-Length, ended by closing the connection.
+    TargetAct_NoLengthReset, // A good answer without Content-Length, ended by a reset.
+    TargetAct_Closing,       // A good answer with Connection: close, then closes the connection.
+    TargetAct_Trailers,      // A good chunked answer after an interim answer and with trailers; both carry a rate limit.
+    TargetAct_Early,         // Answers 400, signed, before it reads the body; the connection stays open.
     TargetAct_COUNT,
 };
 
-// What was seen of one request.
+// A request that the target received.
 struct TargetSaw
 {
-    std::string Id;     // Of the request.
+    std::string Id;     // Request id.
     std::string Method; //
-    std::string Path;   // And query.
+    std::string Path;   // With the query.
     std::string Body;   //
     std::vector<Header> Headers;
-    bool Run = false;       // Work began.
-    bool Cancelled = false; // Its connection closed while it was in work.
+    bool Run = false;       // Processing started.
+    bool Cancelled = false; // Its connection closed while it was queued or processed.
 };
 
 struct TargetConnection;
@@ -61,33 +61,33 @@
     EventLoop* Loop = nullptr;
     int Slots = 3;
     int Queue = 6;
-    TimeUs WorkUs = 5 * UsPerMs;       // At the usual pace.
-    WireNames Names = PlatformNames(); // Header names that it speaks.
-    int PacePercent = 100;             // Time that work takes now, for requests that begin now; told to whoever asks.
-    int ColdMs = 0;                    // Health answers say that it is cold for so much longer; 0: nothing.
-    bool Refuses = false;              // All requests are shed.
-    bool Ill = false;                  // Health answers 503.
-    bool Mute = false;                 // Health questions are read and never answered.
-    bool TellsLoad = true;             // Answers carry the load.
-    std::vector<Header> Says;          // Further headers of all its answers, health answers too.
-    std::vector<Header> SaysRefusing;  // And of those with status 503.
-    bool ResetsWhenFull = false;       // Else it sheds.
-    std::string EndsOn;                // A request whose path begins so ends it, once its work is done, as a crash does; empty: none.
-    bool EndsSilently = false;         // Then its connections stay open, and nothing answers any more.
-    std::string EndedBy;               // Path of the request that has ended it.
-    std::deque<TargetAct_> Script;     // For the next requests that it runs or sheds; good when empty.
-    std::vector<TargetSaw> Saw;        // Every request, health questions apart.
-    std::vector<TimeUs> Arrivals;      // When these came.
-    std::vector<TimeUs> Refusals;      // When requests were refused with status 503.
-    int HealthAsked = 0;
+    TimeUs WorkUs = 5 * UsPerMs;       // Processing time of a request at a pace of 100 %.
+    WireNames Names = PlatformNames(); // Header names of the protocol.
+    int PacePercent = 100;             // Processing time in percent of WorkUs, for requests that start now; part of the load report.
+    int ColdMs = 0;                    // Remaining cold time in health answers; 0: left out.
+    bool Refuses = false;              // All requests are refused with status 503.
+    bool Ill = false;                  // Health checks get status 503.
+    bool Mute = false;                 // Health checks are read and never answered.
+    bool TellsLoad = true;             // Answers carry the load report.
+    std::vector<Header> Says;          // Additional headers of all answers, health answers included.
+    std::vector<Header> SaysRefusing;  // Additional headers of answers with status 503.
+    bool ResetsWhenFull = false;       // Resets the connection when full; else answers with status 503.
+    std::string EndsOn;                // Requests whose path has this prefix crash the target when their processing ends; empty: none.
+    bool EndsSilently = false;         // On such a crash, connections stay open and get no more answers.
+    std::string EndedBy;               // Path of the request that crashed it.
+    std::deque<TargetAct_> Script;     // Behaviour for the next requests that are not refused; TargetAct_Good when empty.
+    std::vector<TargetSaw> Saw;        // Every request except health checks.
+    std::vector<TimeUs> Arrivals;      // Arrival times of the entries of Saw.
+    std::vector<TimeUs> Refusals;      // Times of refusals with status 503.
+    int HealthAsked = 0;               // Health checks received.
     int Running = 0;
-    int Accepted = 0; // Connections.
+    int Accepted = 0; // Accepted connections.
 
     int Listening = -1;
     Watch Accepting;
     std::map<uint64_t, std::unique_ptr<TargetConnection>> Connections;
     uint64_t LastConnection = 0;
-    std::deque<std::pair<uint64_t, size_t>> Waiting; // Connection and request, in order.
+    std::deque<std::pair<uint64_t, size_t>> Waiting; // Queued requests: connection id and index in Saw.
 
     UsersTarget();
     ~UsersTarget();
@@ -95,19 +95,19 @@
     UsersTarget& operator=(const UsersTarget&) = delete;
 };
 
-// Listens on the address. False if it can't be had.
+// Starts to listen on the address. False if that fails.
 bool UsersTargetStart(UsersTarget* target, EventLoop* loop, const std::string& id, const std::string& address);
 
-// Connections that are open now stay open and are never read again; new ones work.
+// Keeps the present connections open but never reads from them again; new connections work.
 void UsersTargetHush(UsersTarget* target);
 
-// Ends it as a loss of power does: sockets stay open, and nothing answers.
+// Simulates a power loss: sockets stay open, and nothing is read or answered.
 void UsersTargetSilence(UsersTarget* target);
 
-// Ends it as a crash does: all sockets close.
+// Simulates a crash of the process: all sockets close.
 void UsersTargetStop(UsersTarget* target);
 
-// How often requests of that id were run.
+// Number of times that processing of requests with this id started.
 int UsersTargetRuns(const UsersTarget& target, const std::string& id);
 
 } // namespace Winchlink
