--- a/bench/users_store.cpp
+++ b/bench/users_store.cpp
@@ -1,4 +1,10 @@
-// users_store.cpp: a stand-in of the users' store.
+// users_store.cpp: a simulation of the platform's key-value store.
+//
+// Index of this file:
+// [SECTION] Answers
+// [SECTION] Calls
+// [SECTION] Changes
+// [SECTION] Documents
 
 #include "users_store.h"
 
@@ -34,7 +40,7 @@
     return object;
 }
 
-// What is no object is sent as it stands.
+// Values that are not JSON objects are sent unchanged.
 static json_t* FormatForeign(const UsersItem& item)
 {
     json_t* value = json_loads(item.Foreign.c_str(), JSON_DECODE_ANY, nullptr);
@@ -82,7 +88,7 @@
     return CallerReply{200, {{"Content-Type", "application/json"}}, DumpJson(object, JSON_COMPACT), false};
 }
 
-// Keys are sent percent-encoded.
+// Decodes the percent encoding of query values.
 static std::string Decoded(const std::string& text)
 {
     std::string out;
@@ -213,7 +219,7 @@
 
 UsersStore::~UsersStore()
 {
-    ListenerStop(&Server); // Waits belong to its calls.
+    ListenerStop(&Server); // Closes the calls; their OnGone handlers use Waits.
 }
 
 Result<void> UsersStoreStart(UsersStore* store, EventLoop* loop, const std::string& address)
@@ -229,7 +235,7 @@
 // [SECTION] Changes
 //-----------------------------------------------------------------------------
 
-// Ending a wait takes it out of the store's list.
+// A copy of the ids, as EndWait() erases from Waits.
 static std::vector<uint64_t> WaitIds(const UsersStore& store)
 {
     std::vector<uint64_t> ids;
--- a/bench/users_store.h
+++ b/bench/users_store.h
@@ -1,11 +1,11 @@
-// users_store.h: a stand-in of the users' store, written from its published protocol: items with revisions, pages, waits for changes. With
-// SpeaksTable it stands in for the service that serves a table of rows instead (docs/PLATFORM.md).
+// users_store.h: a simulation of the platform's key-value store: items with revisions, paged reads, long polls for changes. With
+// SpeaksTable it simulates the service that serves the table's rows instead (docs/PLATFORM.md).
 //
-// It runs inside an event loop, so that a test, or a process of the soak, can hold it beside other parts. Faults are switched on by Mode.
+// It runs inside an event loop, beside the other parts of a test or of the soak. Mode selects a fault.
 //
 // Index of this file:
 // [SECTION] Store
-// [SECTION] Writing as the operator and the targets do
+// [SECTION] Writing
 
 #pragma once
 
@@ -23,11 +23,11 @@
 enum StoreMode_ : int
 {
     StoreMode_Good,
-    StoreMode_Silent,   // Reads calls and never answers.
-    StoreMode_Refusing, // Status 503: nothing was done.
-    StoreMode_TooMany,  // Status 429.
-    StoreMode_Torn,     // Answers that are no JSON.
-    StoreMode_Deaf,     // Waits for changes hear nothing, all else is good.
+    StoreMode_Silent,   // Reads calls and never answers them.
+    StoreMode_Refusing, // Answers with status 503.
+    StoreMode_TooMany,  // Answers with status 429.
+    StoreMode_Torn,     // Answers with incomplete JSON.
+    StoreMode_Deaf,     // Long polls get no changes; page reads work.
     StoreMode_COUNT,
 };
 
@@ -35,16 +35,18 @@
 {
     std::string Key;
     std::string Value;
-    std::string Foreign; // If not empty: the item's JSON, sent in place of all else.
+    std::string Foreign; // If not empty: JSON that is sent in place of the formatted item.
     uint64_t Revision = 0;
 };
 
+// An entry of the history: a change or, if Gone, a deletion.
 struct UsersEvent
 {
     UsersItem Item;
     bool Gone = false;
 };
 
+// A long poll for changes after a revision.
 struct UsersWait
 {
     ExchangePtr From;
@@ -57,18 +59,18 @@
     std::string Address;
     EventLoop* Loop = nullptr;
     Listener Server;
-    bool SpeaksTable = false; // Items are rows of the table, by name.
+    bool SpeaksTable = false; // Serves rows of the table, keyed by name.
     StoreMode_ Mode = StoreMode_Good;
-    size_t PageItems = 50;                  // Items in a page.
-    uint64_t Revision = 1;                  // Of the latest change.
-    uint64_t HistoryFrom = 0;               // Changes up to this revision are forgotten.
+    size_t PageItems = 50;                  // Maximum items in a page.
+    uint64_t Revision = 1;                  // Revision of the latest change.
+    uint64_t HistoryFrom = 0;               // Changes up to this revision are no longer in the history.
     std::map<std::string, UsersItem> Items; // By key.
-    std::vector<UsersEvent> History;        // In order.
-    std::map<uint64_t, UsersWait> Waits;    // Calls that wait for a change.
+    std::vector<UsersEvent> History;        // Changes by ascending revision.
+    std::map<uint64_t, UsersWait> Waits;    // Open long polls, by id.
     uint64_t LastWait = 0;
-    int Calls = 0;                 // Read calls of any kind.
-    int PageCalls = 0;             // Of those, for pages.
-    std::vector<ExchangePtr> Held; // Calls that a silent store holds.
+    int Calls = 0;                 // Calls received, of any kind.
+    int PageCalls = 0;             // Calls for pages that were answered.
+    std::vector<ExchangePtr> Held; // Calls left unanswered in StoreMode_Silent.
 
     UsersStore() = default;
     ~UsersStore();
@@ -76,32 +78,33 @@
     UsersStore& operator=(const UsersStore&) = delete;
 };
 
-// Listens on the address.
+// Starts to listen on the address.
 Result<void> UsersStoreStart(UsersStore* store, EventLoop* loop, const std::string& address);
 
-// Switches a fault on or off. Waiting calls stay where they are when it turns silent, and are refused when it refuses.
+// Sets the mode. Open long polls get status 503 in StoreMode_Refusing and StoreMode_TooMany, and stay open in the other modes.
 void UsersStoreSetMode(UsersStore* store, StoreMode_ mode);
 
-// Forgets the history so far: waits get status 410.
+// Drops the history up to now; open long polls get status 410.
 void UsersStoreCompact(UsersStore* store);
 
 //-----------------------------------------------------------------------------
-// [SECTION] Writing as the operator and the targets do
+// [SECTION] Writing
 //-----------------------------------------------------------------------------
 
 void UsersStorePut(UsersStore* store, const std::string& key, const std::string& value);
 void UsersStoreRemove(UsersStore* store, const std::string& key);
 
-// Another writer's item: its JSON is sent as it stands, with no more than a revision added where it is an object.
+// Stores an item whose JSON is sent as given; an object without a revision gets one.
 void UsersStorePutForeign(UsersStore* store, const std::string& key, const std::string& json);
 
-// For a store that SpeaksTable: publishes one row.
+// Publishes a row; only with SpeaksTable.
 void UsersStorePutRow(UsersStore* store, const ServiceRow& row);
 
-// Asks that a data centre's targets get nothing, or takes that back.
+// Starts or ends the evacuation of a data centre.
 void UsersStoreEvacuate(UsersStore* store, const std::string& data_centre);
 void UsersStoreGiveBack(UsersStore* store, const std::string& data_centre);
 
+// A route in the configuration.
 struct UsersRoute
 {
     std::string Name = "r";
@@ -116,7 +119,7 @@
     bool Public = false;
 };
 
-// A customer, as the configuration names it.
+// A customer in the configuration.
 struct UsersCustomer
 {
     std::string Name;
@@ -126,14 +129,14 @@
     int Priority = -1;   // -1: left out.
 };
 
-// Publishes a configuration with one service for each that a route names.
+// Publishes a configuration of the routes and of all services that they use.
 void UsersStoreConfigure(UsersStore* store, uint64_t version, const std::vector<UsersRoute>& routes);
 
-// The same with customers: requests need their keys.
+// Publishes a configuration with customers, so that requests need a key.
 void UsersStoreConfigureFor(UsersStore* store, uint64_t version, const std::vector<UsersRoute>& routes,
                             const std::vector<UsersCustomer>& customers);
 
-// Publishes a target's entry; `born`: when it started, in Unix milliseconds; 0: it does not say.
+// Publishes a target's entry; `cold_s`: remaining cold time in seconds; `born`: start time in Unix milliseconds, left out if 0.
 void UsersStoreTarget(UsersStore* store, const std::string& id, const std::string& service, const std::string& address,
                       const std::string& zone, bool draining = false, double cold_s = 0, uint64_t born = 0);
 
