--- a/bench/soak_ends.cpp
+++ b/bench/soak_ends.cpp
@@ -1,11 +1,10 @@
-// soak_ends.cpp: requests that end the targets that run them, targets that start again under their ids, and entries that another writer
-// has spoilt.
+// soak_ends.cpp: faults of a soak: requests that crash targets, target restarts under the same id, and invalid target entries.
 //
 // Index of this file:
-// [SECTION] Targets that end
-// [SECTION] Requests that end them
-// [SECTION] Entries of another writer
-// [SECTION] Drawing
+// [SECTION] Crashes and restarts
+// [SECTION] Crashing requests
+// [SECTION] Invalid entries
+// [SECTION] Random choice
 
 #include "soak.h"
 
@@ -17,17 +16,17 @@
 namespace Winchlink
 {
 
-static int64_t EndsBetween(Soak* soak, int64_t least, int64_t most)
+static int64_t DrawWithEndsRng(Soak* soak, int64_t least, int64_t most)
 {
     return std::uniform_int_distribution<int64_t>(least, most)(soak->EndsRng);
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Targets that end
+// [SECTION] Crashes and restarts
 //-----------------------------------------------------------------------------
 
-// What targets of that id were and have said ends now, as far as it is not over.
-template <class T> static void EndOf(std::vector<T>* entries, const std::string& id, TimeUs T::*until)
+// Closes the open spans of the target now.
+template <class T> static void CloseOpenSpans(std::vector<T>* entries, const std::string& id, TimeUs T::*until)
 {
     for (T& entry : *entries)
     {
@@ -38,41 +37,41 @@
     }
 }
 
-// Its next start is warm, and has asked for nothing.
-static void EndLife(SoakLog* log, const std::string& id)
+// Closes all spans that a restart ends: the new process is warm and has announced nothing.
+static void CloseSpansOfTarget(SoakLog* log, const std::string& id)
 {
-    EndOf(&log->Colds, id, &SoakCold::UntilUs);
-    EndOf(&log->Limits, id, &SoakLimit::UntilUs);
-    EndOf(&log->Rests, id, &SoakRest::NextStartUs);
-    EndOf(&log->SaidLeaving, id, &SoakLeaving::UntilUs);
+    CloseOpenSpans(&log->Colds, id, &SoakCold::UntilUs);
+    CloseOpenSpans(&log->Limits, id, &SoakLimit::UntilUs);
+    CloseOpenSpans(&log->Rests, id, &SoakRest::NextStartUs);
+    CloseOpenSpans(&log->SaidLeaving, id, &SoakLeaving::UntilUs);
 }
 
-static void ComeBack(Soak* soak, SoakTarget* former)
+static void RestartTarget(Soak* soak, SoakTarget* former)
 {
-    former->Listed = false; // The next start has the entry.
-    EndLife(&soak->Log, former->Part.Id);
+    former->Listed = false; // The entry belongs to the new process.
+    CloseSpansOfTarget(&soak->Log, former->Part.Id);
     StartAgain(soak, *former, static_cast<uint64_t>(NowUs() / UsPerMs));
 }
 
-static void ComeBackLater(Soak* soak, SoakTarget* target)
+static void RestartTargetLater(Soak* soak, SoakTarget* target)
 {
     target->Down = true;
-    Later(soak, EndsBetween(soak, 300, 2000) * UsPerMs,
+    Later(soak, DrawWithEndsRng(soak, 300, 2000) * UsPerMs,
           [soak, target]()
           {
-              if (target->Listed) // Else it leaves.
+              if (target->Listed) // Not if it was removed meanwhile.
               {
-                  ComeBack(soak, target);
+                  RestartTarget(soak, target);
               }
           });
 }
 
-static void LookForMended(Soak* soak);
+static void PollRepairedEntries(Soak* soak);
 
-// Takes note of targets that a request has ended, and of entries that are good again.
-static void LookForEnds(Soak* soak)
+// Logs targets that a request has crashed and entries that are valid again; runs every few milliseconds.
+static void PollCrashes(Soak* soak)
 {
-    const size_t known = soak->Targets.size(); // It grows.
+    const size_t known = soak->Targets.size(); // Restarts append to it.
     for (size_t n = 0; n < known; n++)
     {
         SoakTarget* target = soak->Targets[n].get();
@@ -80,18 +79,18 @@
         if (ended)
         {
             soak->Log.Ends.push_back({target->Part.EndedBy, NowUs()});
-            ComeBackLater(soak, target);
+            RestartTargetLater(soak, target);
         }
     }
-    LookForMended(soak);
-    Later(soak, 5 * UsPerMs, [soak]() { LookForEnds(soak); });
+    PollRepairedEntries(soak);
+    Later(soak, 5 * UsPerMs, [soak]() { PollCrashes(soak); });
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Requests that end them
+// [SECTION] Crashing requests
 //-----------------------------------------------------------------------------
 
-static void SendEnding(Soak* soak, const std::string& path)
+static void SendCrashingRequest(Soak* soak, const std::string& path)
 {
     const SoakInstance* instance = PickInstance(soak);
     if (instance == nullptr)
@@ -122,18 +121,18 @@
                });
 }
 
-// The caller never gives up.
-static void SendEndingAgain(Soak* soak, const std::string& path)
+// A caller that sends the same path again until the faults end.
+static void SendCrashingRequests(Soak* soak, const std::string& path)
 {
     if (soak->Striking)
     {
-        SendEnding(soak, path);
-        Later(soak, EndsBetween(soak, 100, 400) * UsPerMs, [soak, path]() { SendEndingAgain(soak, path); });
+        SendCrashingRequest(soak, path);
+        Later(soak, DrawWithEndsRng(soak, 100, 400) * UsPerMs, [soak, path]() { SendCrashingRequests(soak, path); });
     }
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Entries of another writer
+// [SECTION] Invalid entries
 //-----------------------------------------------------------------------------
 
 static SoakTarget* PickListed(Soak* soak)
@@ -146,7 +145,7 @@
             listed.push_back(target.get());
         }
     }
-    return listed.empty() ? nullptr : listed[static_cast<size_t>(EndsBetween(soak, 0, static_cast<int64_t>(listed.size()) - 1))];
+    return listed.empty() ? nullptr : listed[static_cast<size_t>(DrawWithEndsRng(soak, 0, static_cast<int64_t>(listed.size()) - 1))];
 }
 
 static std::string EntryKey(const std::string& id)
@@ -154,15 +153,15 @@
     return "servers/" + id;
 }
 
-static constexpr const char* SpoiltValue = "no entry";
+static constexpr const char* InvalidEntryValue = "no entry";
 
-// Whoever writes a good entry, or takes it away, ends what was spoilt: other faults do so too.
-static void LookForMended(Soak* soak)
+// Logs the end of invalid entries that were replaced or removed, by this or another fault.
+static void PollRepairedEntries(Soak* soak)
 {
     for (auto spoilt = soak->Spoilt.begin(); spoilt != soak->Spoilt.end();)
     {
         const auto item = soak->Store.Items.find(EntryKey(spoilt->first));
-        const bool still = item != soak->Store.Items.end() && (!item->second.Foreign.empty() || item->second.Value == SpoiltValue);
+        const bool still = item != soak->Store.Items.end() && (!item->second.Foreign.empty() || item->second.Value == InvalidEntryValue);
         if (still)
         {
             ++spoilt;
@@ -173,7 +172,7 @@
     }
 }
 
-static void SpoilEntry(Soak* soak, SoakTarget* target)
+static void PublishInvalidEntry(Soak* soak, SoakTarget* target)
 {
     const std::string id = target->Part.Id;
     const std::string key = EntryKey(id);
@@ -181,9 +180,9 @@
     {
         return;
     }
-    if (EndsBetween(soak, 0, 1) == 0)
+    if (DrawWithEndsRng(soak, 0, 1) == 0)
     {
-        UsersStorePut(&soak->Store, key, SpoiltValue);
+        UsersStorePut(&soak->Store, key, InvalidEntryValue);
     }
     else
     {
@@ -191,7 +190,7 @@
     }
     soak->Log.Leavings.push_back({id, NowUs()});
     soak->Spoilt[id] = soak->Log.Leavings.size() - 1;
-    Later(soak, EndsBetween(soak, 200, 4000) * UsPerMs,
+    Later(soak, DrawWithEndsRng(soak, 200, 4000) * UsPerMs,
           [soak, target]()
           {
               if (target->Listed)
@@ -202,42 +201,42 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Drawing
+// [SECTION] Random choice
 //-----------------------------------------------------------------------------
 
-static void StrikeByEndsAgain(Soak* soak)
+static void InjectCrashFaults(Soak* soak)
 {
     if (!soak->Striking)
     {
         return;
     }
-    const int64_t draw = EndsBetween(soak, 0, 5);
+    const int64_t draw = DrawWithEndsRng(soak, 0, 5);
     SoakTarget* target = PickListed(soak);
     if (draw == 0)
     {
         soak->Drawn["ending request"]++;
-        SendEndingAgain(soak, fmt::format("{}{}", SoakEndingPrefix, soak->Drawn["ending request"]));
+        SendCrashingRequests(soak, fmt::format("{}{}", SoakEndingPrefix, soak->Drawn["ending request"]));
     }
     else if (draw < 3 && target != nullptr)
     {
         soak->Drawn["restart"]++;
         UsersTargetStop(&target->Part);
-        ComeBackLater(soak, target);
+        RestartTargetLater(soak, target);
     }
     else if (target != nullptr)
     {
         soak->Drawn["foreign entry"]++;
-        SpoilEntry(soak, target);
+        PublishInvalidEntry(soak, target);
     }
-    Later(soak, EndsBetween(soak, 300, 2500) * UsPerMs, [soak]() { StrikeByEndsAgain(soak); });
+    Later(soak, DrawWithEndsRng(soak, 300, 2500) * UsPerMs, [soak]() { InjectCrashFaults(soak); });
 }
 
 void StrikeByEnds(Soak* soak)
 {
     if (soak->Plan.Faults == SoakFaults_All)
     {
-        LookForEnds(soak);
-        StrikeByEndsAgain(soak);
+        PollCrashes(soak);
+        InjectCrashFaults(soak);
     }
 }
 
