--- a/bench/soak_faults.cpp
+++ b/bench/soak_faults.cpp
@@ -1,9 +1,9 @@
-// soak_faults.cpp: what a soak does to instances, store and targets.
+// soak_faults.cpp: faults of a soak on instances, the store and targets.
 //
 // Index of this file:
 // [SECTION] Faults on instances
 // [SECTION] Faults on store and targets
-// [SECTION] Drawing
+// [SECTION] Random choice
 
 #include "soak.h"
 
@@ -52,7 +52,7 @@
     instance->Trouble = OpenTrouble(soak, instance->Index, true);
     instance->Ending = true;
     kill(instance->Pid, SIGTERM);
-    Later(soak, 2 * UsPerSecond, [instance]() { instance->Leaving = instance->Ending; }); // The balancer notices.
+    Later(soak, 2 * UsPerSecond, [instance]() { instance->Leaving = instance->Ending; }); // Callers stop using it.
     constexpr TimeUs slack = UsPerSecond;
     instance->Next = TimerStart(&soak->Loop, SoakGraceUs + slack,
                                 [soak, instance]()
@@ -67,7 +67,7 @@
     WriteSettings(*soak, *instance, Between(soak, 0, 1) == 0 ? 0.2 : 0.1);
     if (Between(soak, 0, 1) == 0)
     {
-        kill(instance->Pid, SIGHUP); // Else it finds out by itself.
+        kill(instance->Pid, SIGHUP); // Without the signal, the instance detects the changed file.
     }
 }
 
@@ -108,7 +108,7 @@
 // [SECTION] Faults on store and targets
 //-----------------------------------------------------------------------------
 
-static void HurtStore(Soak* soak)
+static void DisruptStore(Soak* soak)
 {
     soak->StoreTrouble = OpenTrouble(soak, -1, false);
     UsersStoreSetMode(&soak->Store, static_cast<StoreMode_>(Between(soak, StoreMode_Silent, StoreMode_Deaf)));
@@ -126,13 +126,13 @@
           });
 }
 
-static void HurtLink(Soak* soak, SoakTarget* target)
+static void DisruptLink(Soak* soak, SoakTarget* target)
 {
     ProxySetMode(&target->Before, static_cast<ProxyMode_>(Between(soak, ProxyMode_Delay, ProxyMode_Reset)));
     target->Next = TimerStart(&soak->Loop, MsBetween(soak, 100, 3000), [target]() { ProxySetMode(&target->Before, ProxyMode_Good); });
 }
 
-static void SpoilAnswers(Soak* soak, SoakTarget* target)
+static void ScriptFaultyAnswers(Soak* soak, SoakTarget* target)
 {
     for (int64_t n = Between(soak, 1, 6); n > 0; n--)
     {
@@ -140,7 +140,7 @@
     }
 }
 
-static void EndTarget(Soak* soak, SoakTarget* target)
+static void RemoveTarget(Soak* soak, SoakTarget* target)
 {
     target->Listed = false;
     UsersStoreRemove(&soak->Store, "servers/" + target->Part.Id);
@@ -156,12 +156,12 @@
     target->Next = TimerStart(&soak->Loop, MsBetween(soak, 2500, 5000),
                               [soak, target]()
                               {
-                                  EndTarget(soak, target);
+                                  RemoveTarget(soak, target);
                                   UsersTargetStop(&target->Part);
                               });
 }
 
-static void Lapse(Soak* soak, SoakTarget* target)
+static void RemoveEntryBriefly(Soak* soak, SoakTarget* target)
 {
     UsersStoreRemove(&soak->Store, "servers/" + target->Part.Id);
     target->Next = TimerStart(&soak->Loop, MsBetween(soak, 100, 1500),
@@ -169,23 +169,23 @@
                               { UsersStoreTarget(&soak->Store, target->Part.Id, target->Service, target->Before.Address, target->Zone); });
 }
 
-// It crashes, and another one gets its address before anybody is told.
+// The target crashes, and a target of the other service gets its address before the store holds the change.
 static void ReplaceInPlace(Soak* soak, SoakTarget* target)
 {
     const std::string before = target->Before.Address;
     UsersTargetStop(&target->Part);
-    EndTarget(soak, target);
+    RemoveTarget(soak, target);
     SoakTarget* next = AddTarget(soak, target->Service == "svc" ? "other" : "svc");
     AddTarget(soak, target->Service);
-    target->Before.Server = next->Part.Address; // Connections to the old address reach the new target.
+    target->Before.Server = next->Part.Address; // The old address now leads to the new target.
 }
 
-// It turns cold, tells so itself at once and its entry a little later.
-static void TurnCold(Soak* soak, SoakTarget* target)
+// Makes the target cold; its health answers report it at once, its entry some time later.
+static void MakeCold(Soak* soak, SoakTarget* target)
 {
     if (target->Part.ColdMs > 0)
     {
-        return; // It is cold already.
+        return; // Already cold.
     }
     constexpr int cold_ms = 3000;
     const TimeUs until = NowUs() + cold_ms * UsPerMs;
@@ -203,7 +203,7 @@
     Later(soak, cold_ms * UsPerMs, [target]() { target->Part.ColdMs = 0; });
 }
 
-// A data centre is evacuated, and given back after a while, with its targets cold or warm.
+// Evacuates a data centre for a time; half of the times, its targets are cold afterwards.
 static void Evacuate(Soak* soak)
 {
     const std::string data_centre = fmt::format("dc-{}", Between(soak, 0, 1));
@@ -226,7 +226,7 @@
               {
                   if (cold && target->Listed && target->Zone == data_centre)
                   {
-                      TurnCold(soak, target.get());
+                      MakeCold(soak, target.get());
                   }
               }
               UsersStoreGiveBack(&soak->Store, data_centre);
@@ -234,7 +234,7 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Drawing
+// [SECTION] Random choice
 //-----------------------------------------------------------------------------
 
 static SoakTarget* PickTarget(Soak* soak)
@@ -250,51 +250,51 @@
     return listed.empty() ? nullptr : listed[static_cast<size_t>(Between(soak, 0, static_cast<int64_t>(listed.size()) - 1))];
 }
 
-static void StrikeInstance(Soak* soak, SoakInstance* instance)
+static void InjectInstanceFault(Soak* soak, SoakInstance* instance)
 {
     if (instance->Pid <= 0 || instance->Trouble != 0)
     {
         return;
     }
-    struct Strike
+    struct Fault
     {
         const char* Name;
         void (*Run)(Soak*, SoakInstance*);
     };
-    static const std::array<Strike, 5> strikes = {{{"kill", KillInstance},
-                                                   {"pause", PauseInstance},
-                                                   {"stop", StopInstance},
-                                                   {"reload", ReloadInstance},
-                                                   {"cut from store", CutFromStore}}};
-    const Strike& strike = strikes[static_cast<size_t>(Between(soak, 0, strikes.size() - 1))];
-    soak->Drawn[strike.Name]++;
-    strike.Run(soak, instance);
+    static const std::array<Fault, 5> faults = {{{"kill", KillInstance},
+                                                 {"pause", PauseInstance},
+                                                 {"stop", StopInstance},
+                                                 {"reload", ReloadInstance},
+                                                 {"cut from store", CutFromStore}}};
+    const Fault& fault = faults[static_cast<size_t>(Between(soak, 0, faults.size() - 1))];
+    soak->Drawn[fault.Name]++;
+    fault.Run(soak, instance);
 }
 
-static void StrikeTarget(Soak* soak, SoakTarget* target)
+static void InjectTargetFault(Soak* soak, SoakTarget* target)
 {
-    struct Strike
+    struct Fault
     {
         const char* Name;
         void (*Run)(Soak*, SoakTarget*);
     };
-    static const std::array<Strike, 6> strikes = {{{"link", HurtLink},
-                                                   {"spoiled answers", SpoilAnswers},
-                                                   {"drain", Drain},
-                                                   {"lapse", Lapse},
-                                                   {"replaced in place", ReplaceInPlace},
-                                                   {"cold", TurnCold}}};
-    const Strike& strike = strikes[static_cast<size_t>(Between(soak, 0, strikes.size() - 1))];
-    soak->Drawn[strike.Name]++;
-    strike.Run(soak, target);
+    static const std::array<Fault, 6> faults = {{{"link", DisruptLink},
+                                                 {"spoiled answers", ScriptFaultyAnswers},
+                                                 {"drain", Drain},
+                                                 {"lapse", RemoveEntryBriefly},
+                                                 {"replaced in place", ReplaceInPlace},
+                                                 {"cold", MakeCold}}};
+    const Fault& fault = faults[static_cast<size_t>(Between(soak, 0, faults.size() - 1))];
+    soak->Drawn[fault.Name]++;
+    fault.Run(soak, target);
 }
 
-static void StrikeStore(Soak* soak)
+static void InjectStoreFault(Soak* soak)
 {
     if (soak->StoreTrouble == 0)
     {
         soak->Drawn["store"]++;
-        HurtStore(soak);
+        DisruptStore(soak);
     }
 }
 
@@ -307,8 +307,8 @@
     }
 }
 
-// One instance after the other is stopped, as an upgrade does; the next one when the last is back.
-static void RollOn(Soak* soak, size_t index)
+// Stops one instance after the other as a rolling upgrade does; each only when the one before is running again.
+static void RollInstances(Soak* soak, size_t index)
 {
     constexpr TimeUs look_again = 100 * UsPerMs;
     SoakInstance* instance = soak->Instances[index % soak->Instances.size()].get();
@@ -320,34 +320,34 @@
     const bool busy = instance->Trouble != 0 || before->Trouble != 0 || before->Pid <= 0;
     if (busy)
     {
-        Later(soak, look_again, [soak, index]() { RollOn(soak, index); });
+        Later(soak, look_again, [soak, index]() { RollInstances(soak, index); });
         return;
     }
     soak->Drawn["stop"]++;
     StopInstance(soak, instance);
     if (soak->Plan.Faults == SoakFaults_KilledRoll)
     {
-        kill(instance->Pid, SIGKILL); // The log has it as a planned stop.
+        kill(instance->Pid, SIGKILL); // Still logged as a planned stop.
     }
-    Later(soak, UsPerSecond, [soak, index]() { RollOn(soak, index + 1); });
+    Later(soak, UsPerSecond, [soak, index]() { RollInstances(soak, index + 1); });
 }
 
-static void StrikeAnything(Soak* soak)
+static void InjectRandomFault(Soak* soak)
 {
     const int64_t draw = Between(soak, 0, 9);
     SoakTarget* target = PickTarget(soak);
     if (draw < 4)
     {
-        StrikeInstance(soak,
-                       soak->Instances[static_cast<size_t>(Between(soak, 0, static_cast<int64_t>(soak->Instances.size()) - 1))].get());
+        InjectInstanceFault(soak,
+                            soak->Instances[static_cast<size_t>(Between(soak, 0, static_cast<int64_t>(soak->Instances.size()) - 1))].get());
     }
     else if (draw < 7 && target != nullptr)
     {
-        StrikeTarget(soak, target);
+        InjectTargetFault(soak, target);
     }
     else if (draw < 8)
     {
-        StrikeStore(soak);
+        InjectStoreFault(soak);
     }
     else if (draw < 9 && Between(soak, 0, 1) == 0)
     {
@@ -360,12 +360,12 @@
     }
 }
 
-static void StrikeAgain(Soak* soak)
+static void InjectRandomFaults(Soak* soak)
 {
     if (soak->Striking)
     {
-        StrikeAnything(soak);
-        Later(soak, MsBetween(soak, 50, 900), [soak]() { StrikeAgain(soak); });
+        InjectRandomFault(soak);
+        Later(soak, MsBetween(soak, 50, 900), [soak]() { InjectRandomFaults(soak); });
     }
 }
 
@@ -373,10 +373,10 @@
 {
     if (soak->Plan.Faults == SoakFaults_All)
     {
-        StrikeAgain(soak);
+        InjectRandomFaults(soak);
         return;
     }
-    RollOn(soak, 0);
+    RollInstances(soak, 0);
 }
 
 } // namespace Winchlink
