--- a/bench/soak.cpp
+++ b/bench/soak.cpp
@@ -1,4 +1,4 @@
-// soak.cpp: winchbench soak: plays a soak of gateway processes and audits it.
+// soak.cpp: the command `winchbench soak`: runs a soak of gateway processes and audits its log.
 //
 // Index of this file:
 // [SECTION] The run
@@ -21,7 +21,7 @@
 // [SECTION] The run
 //-----------------------------------------------------------------------------
 
-// Copies what targets have seen into the log, while it is known when it came.
+// Copies new requests of the targets to the log every 10 ms, with the current time as time of arrival.
 static void CollectArrivals(Soak* soak)
 {
     for (const auto& target : soak->Targets)
@@ -38,10 +38,10 @@
     Later(soak, 10 * UsPerMs, [soak]() { CollectArrivals(soak); });
 }
 
-// Whether each request was run is known for certain only at the end.
-static void MarkRuns(Soak* soak)
+// Sets Run of the logged arrivals; called at the end, when it can't change any more.
+static void SetArrivalsRun(Soak* soak)
 {
-    std::map<std::pair<std::string, std::string>, int> runs; // By target and request.
+    std::map<std::pair<std::string, std::string>, int> runs; // By target id and request id.
     for (const auto& target : soak->Targets)
     {
         for (const TargetSaw& saw : target->Part.Saw)
@@ -57,7 +57,7 @@
     }
 }
 
-// Instances are told apart by their IP numbers where they send datagrams.
+// Each instance gets an IP address of its own, as all use the same port for datagrams.
 static std::string PeerAddressOf(int instance)
 {
     const std::string own = FreeLoopback();
@@ -108,10 +108,10 @@
     LoopRunUntil(&soak->Loop, time, []() { return false; });
 }
 
-// After all faults: how much of what is asked is served.
+// After all faults: counts the requests and successes of a measuring period.
 static void MeasureRecovery(Soak* soak)
 {
-    constexpr TimeUs calm = 12 * UsPerSecond; // Faults in progress end, instances restart.
+    constexpr TimeUs calm = 12 * UsPerSecond; // Time for open faults to end and instances to restart.
     constexpr TimeUs measured = 3 * UsPerSecond;
     constexpr TimeUs last_answers = 2 * UsPerSecond;
     RunFor(soak, calm);
@@ -129,7 +129,7 @@
 
 static void Play(Soak* soak)
 {
-    RunFor(soak, UsPerSecond); // Instances start.
+    RunFor(soak, UsPerSecond); // Time for the instances to start.
     for (int n = 0; n < soak->Plan.Callers; n++)
     {
         Ask(soak);
@@ -171,7 +171,7 @@
             KillProcess(instance->Pid);
         }
     }
-    MarkRuns(&soak);
+    SetArrivalsRun(&soak);
     return SoakResult{std::move(soak.Log), soak.Folder, soak.Drawn};
 }
 
@@ -200,13 +200,13 @@
     fflush(stdout);
 }
 
-// Whether the seed broke a promise.
-static bool PlaySeed(const SoakPlan& plan)
+// Runs and audits a seed, and prints the breaches. True if there are any.
+static bool RunAndAuditSeed(const SoakPlan& plan)
 {
     const std::optional<SoakResult> result = PlaySoak(plan);
     if (!result)
     {
-        fmt::print("BROKEN seed {}: the stand-ins can't listen\n", plan.Seed);
+        fmt::print("BROKEN seed {}: can't create the folder or start the store\n", plan.Seed);
         return true;
     }
     Report(*result, plan.Seed);
@@ -223,9 +223,9 @@
     SoakPlan plan;
     int seeds = 1;
     const poptOption table[] = {{"seed", 0, POPT_ARG_INT, &plan.Seed, 0, "first seed", "N"},
-                                {"seeds", 0, POPT_ARG_INT, &seeds, 0, "how many seeds, one after the other", "N"},
-                                {"seconds", 0, POPT_ARG_INT, &plan.Seconds, 0, "length of the faults of each", "N"},
-                                {"instances", 0, POPT_ARG_INT, &plan.Instances, 0, "gateway processes", "N"},
+                                {"seeds", 0, POPT_ARG_INT, &seeds, 0, "number of seeds, run one after the other", "N"},
+                                {"seconds", 0, POPT_ARG_INT, &plan.Seconds, 0, "seconds of faults per seed", "N"},
+                                {"instances", 0, POPT_ARG_INT, &plan.Instances, 0, "number of gateway processes", "N"},
                                 OPTIONS_TAIL};
     const ParsedOptions parsed = ParseOptions("winchbench soak", argc, argv, table, "");
     if (parsed.Exit)
@@ -236,7 +236,7 @@
     int broken = 0;
     for (int n = 0; n < seeds; n++)
     {
-        broken += PlaySeed(plan) ? 1 : 0;
+        broken += RunAndAuditSeed(plan) ? 1 : 0;
         plan.Seed++;
     }
     fmt::print("soak: {} of {} seeds broke a promise\n", broken, seeds);
--- a/bench/soak_audit.cpp
+++ b/bench/soak_audit.cpp
@@ -1,4 +1,4 @@
-// soak_audit.cpp: the checks on what a soak of instances saw.
+// soak_audit.cpp: the checks on the log of a soak.
 
 #include "soak_audit.h"
 
@@ -8,15 +8,16 @@
 namespace Winchlink
 {
 
-using Findings = std::map<std::string, std::vector<std::string>>; // By kind.
+using Findings = std::map<std::string, std::vector<std::string>>; // Requests or targets with a breach, by kind of breach.
 
-static bool PromisesNotRun(int status)
+static bool MeansNotExecuted(int status)
 {
     return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
-// Whether nothing was done to the instance and the store in the time before, and until then.
-static bool InTouch(const SoakLog& log, const SoakBounds& bounds, int instance, TimeUs from, TimeUs until, bool planned_counts)
+// Whether no disruption affected the instance or the store from TouchUs before `from` to `until`. Planned stops count as
+// disruptions only with `planned_counts`.
+static bool IsUndisrupted(const SoakLog& log, const SoakBounds& bounds, int instance, TimeUs from, TimeUs until, bool planned_counts)
 {
     const auto strikes = [&](const SoakTrouble& trouble)
     {
@@ -37,7 +38,7 @@
     return all;
 }
 
-static int Runs(const std::vector<const SoakArrival*>& arrivals)
+static int CountRuns(const std::vector<const SoakArrival*>& arrivals)
 {
     return static_cast<int>(std::count_if(arrivals.begin(), arrivals.end(), [](const SoakArrival* a) { return a->Run; }));
 }
@@ -45,12 +46,12 @@
 static void CheckRequest(const SoakLog& log, const SoakBounds& bounds, const SoakRequest& request,
                          const std::vector<const SoakArrival*>& arrivals, Findings* found)
 {
-    const int runs = Runs(arrivals);
+    const int runs = CountRuns(arrivals);
     if (!request.Repeatable && runs > 1)
     {
         (*found)["ran twice"].push_back(request.Id);
     }
-    if (!request.Repeatable && (request.NotRead || PromisesNotRun(request.Status)) && runs > 0)
+    if (!request.Repeatable && (request.NotRead || MeansNotExecuted(request.Status)) && runs > 0)
     {
         (*found)["refused and run"].push_back(request.Id);
     }
@@ -59,13 +60,14 @@
         (*found)["not its own answer"].push_back(request.Id);
     }
     const bool cut = request.EndedUs > 0 && request.Status == 0 && !request.NotRead && !arrivals.empty();
-    if (cut && InTouch(log, bounds, request.Instance, request.SentUs, request.EndedUs, false))
+    if (cut && IsUndisrupted(log, bounds, request.Instance, request.SentUs, request.EndedUs, false))
     {
         (*found)["cut without an answer"].push_back(request.Id);
     }
 }
 
-static void CheckKnown(const SoakLog& log, const std::map<std::string, std::vector<const SoakArrival*>>& arrivals, Findings* found)
+static void CheckUnknownRequests(const SoakLog& log, const std::map<std::string, std::vector<const SoakArrival*>>& arrivals,
+                                 Findings* found)
 {
     std::set<std::string> known;
     for (const SoakRequest& request : log.Requests)
@@ -81,7 +83,7 @@
     }
 }
 
-static void CheckLeavings(const SoakLog& log, const SoakBounds& bounds, Findings* found)
+static void CheckDrains(const SoakLog& log, const SoakBounds& bounds, Findings* found)
 {
     for (const SoakLeaving& leaving : log.Leavings)
     {
@@ -89,7 +91,7 @@
         {
             const bool there = arrival.Target == leaving.Target && arrival.AtUs < leaving.UntilUs;
             const bool late = there && arrival.AtUs > leaving.AtUs + bounds.DrainUs;
-            if (late && InTouch(log, bounds, arrival.Instance, leaving.AtUs, arrival.AtUs, true))
+            if (late && IsUndisrupted(log, bounds, arrival.Instance, leaving.AtUs, arrival.AtUs, true))
             {
                 (*found)["sent to a target that leaves"].push_back(fmt::format("{} to {}", arrival.Id, arrival.Target));
             }
@@ -110,7 +112,7 @@
         {
             const bool in_force = arrival.AtUs > evacuation.FromUs + bounds.EvacuateUs && arrival.AtUs < evacuation.UntilUs;
             const bool there = arrival.DataCentre == evacuation.DataCentre;
-            if (in_force && there && InTouch(log, bounds, arrival.Instance, evacuation.FromUs, arrival.AtUs, true))
+            if (in_force && there && IsUndisrupted(log, bounds, arrival.Instance, evacuation.FromUs, arrival.AtUs, true))
             {
                 (*found)["sent to an evacuated data centre"].push_back(fmt::format("{} to {}", arrival.Id, arrival.Target));
             }
@@ -141,8 +143,7 @@
     }
 }
 
-// The services that a request may be run by: of the newest version that is in force everywhere, and of all later ones.
-// Arrivals at a target from each instance, in order, in a span.
+// Arrivals at a target within a time span, by instance and in order of arrival.
 static std::map<int, std::vector<const SoakArrival*>> ByInstance(const SoakLog& log, const std::string& target, TimeUs from, TimeUs until)
 {
     std::map<int, std::vector<const SoakArrival*>> arrivals;
@@ -156,8 +157,9 @@
     return arrivals;
 }
 
-// What counts against a limit: requests of instances that have been in touch since it was named, half a second after their first answer.
-static std::vector<TimeUs> TimesOfLimit(const SoakLog& log, const SoakBounds& bounds, const SoakLimit& limit)
+// Arrivals that count against a limit: those from instances that were not disrupted since it was first sent, later than HeardUs after the
+// first arrival of the instance.
+static std::vector<TimeUs> ArrivalsUnderLimit(const SoakLog& log, const SoakBounds& bounds, const SoakLimit& limit)
 {
     std::vector<TimeUs> times;
     for (const auto& [instance, arrivals] : ByInstance(log, limit.Target, limit.FromUs, limit.UntilUs))
@@ -165,7 +167,7 @@
         for (const SoakArrival* arrival : arrivals)
         {
             const bool told = arrival->AtUs > arrivals.front()->AtUs + bounds.HeardUs;
-            if (told && InTouch(log, bounds, instance, limit.FromUs, arrival->AtUs, true))
+            if (told && IsUndisrupted(log, bounds, instance, limit.FromUs, arrival->AtUs, true))
             {
                 times.push_back(arrival->AtUs);
             }
@@ -178,7 +180,7 @@
 {
     for (const SoakLimit& limit : log.Limits)
     {
-        const std::vector<TimeUs> times = TimesOfLimit(log, bounds, limit);
+        const std::vector<TimeUs> times = ArrivalsUnderLimit(log, bounds, limit);
         const double window_s = static_cast<double>(bounds.LimitWindowUs) / UsPerSecond;
         const double most = limit.PerS * window_s * bounds.LimitOverage + bounds.LimitSlack;
         for (const TimeUs at : times)
@@ -201,7 +203,7 @@
     return static_cast<size_t>(std::count_if(arrivals.begin(), arrivals.end(), between));
 }
 
-static void CheckRests(const SoakLog& log, const SoakBounds& bounds, Findings* found)
+static void CheckRetryAfter(const SoakLog& log, const SoakBounds& bounds, Findings* found)
 {
     for (const SoakRest& rest : log.Rests)
     {
@@ -212,7 +214,7 @@
                 const TimeUs until = std::min(refused->AtUs + rest.RestUs, rest.NextStartUs);
                 const bool was_refused = refused->AtUs < rest.UntilUs && !refused->Run;
                 const bool too_many = CountBetween(arrivals, refused->AtUs + bounds.HeardUs, until) > bounds.RestMost;
-                if (was_refused && too_many && InTouch(log, bounds, instance, refused->AtUs, until, true))
+                if (was_refused && too_many && IsUndisrupted(log, bounds, instance, refused->AtUs, until, true))
                 {
                     (*found)["sent to a target that wants nothing"].push_back(refused->Id);
                 }
@@ -221,7 +223,7 @@
     }
 }
 
-static void CheckSaidLeaving(const SoakLog& log, const SoakBounds& bounds, Findings* found)
+static void CheckAnnouncedDrains(const SoakLog& log, const SoakBounds& bounds, Findings* found)
 {
     for (const SoakLeaving& leaving : log.SaidLeaving)
     {
@@ -229,7 +231,7 @@
         {
             const TimeUs told = arrivals.front()->AtUs + bounds.HeardUs;
             const SoakArrival* last = arrivals.back();
-            if (last->AtUs > told + bounds.DrainUs && InTouch(log, bounds, instance, told, last->AtUs, true))
+            if (last->AtUs > told + bounds.DrainUs && IsUndisrupted(log, bounds, instance, told, last->AtUs, true))
             {
                 (*found)["sent to a target that has said that it leaves"].push_back(last->Id);
             }
@@ -237,7 +239,8 @@
     }
 }
 
-static std::set<std::string> Allowed(const SoakLog& log, const SoakBounds& bounds, const SoakRequest& request)
+// The services that may run a request: that of the newest version that all instances must have applied, and those of later versions.
+static std::set<std::string> AllowedServices(const SoakLog& log, const SoakBounds& bounds, const SoakRequest& request)
 {
     std::set<std::string> allowed;
     for (size_t n = 0; n < log.Versions.size(); n++)
@@ -256,11 +259,11 @@
                          const std::vector<const SoakArrival*>& arrivals, Findings* found)
 {
     const TimeUs from = request.SentUs - bounds.ApplyUs;
-    if (!request.MovingRoute || !InTouch(log, bounds, request.Instance, from, request.SentUs, true))
+    if (!request.MovingRoute || !IsUndisrupted(log, bounds, request.Instance, from, request.SentUs, true))
     {
         return;
     }
-    const std::set<std::string> allowed = Allowed(log, bounds, request);
+    const std::set<std::string> allowed = AllowedServices(log, bounds, request);
     for (const SoakArrival* arrival : arrivals)
     {
         if (arrival->Run && allowed.count(arrival->Service) == 0)
@@ -272,7 +275,7 @@
 
 static void CheckBudget(const SoakLog& log, const SoakBounds& bounds, Findings* found)
 {
-    std::map<std::string, std::vector<TimeUs>> repeats; // By service.
+    std::map<std::string, std::vector<TimeUs>> repeats; // Retries by service.
     std::map<std::string, std::vector<TimeUs>> firsts;
     std::set<std::string> seen;
     for (const SoakArrival& arrival : log.Arrivals)
@@ -296,8 +299,8 @@
     }
 }
 
-// When so many targets had ended under each path.
-static std::map<std::string, TimeUs> EndedEnough(const SoakLog& log, const SoakBounds& bounds)
+// By path: the time of the crash that makes instances quarantine the path.
+static std::map<std::string, TimeUs> QuarantineTimes(const SoakLog& log, const SoakBounds& bounds)
 {
     std::map<std::string, size_t> ends;
     std::map<std::string, TimeUs> enough;
@@ -311,10 +314,10 @@
     return enough;
 }
 
-static void CheckEnds(const SoakLog& log, const SoakBounds& bounds, const std::map<std::string, std::vector<const SoakArrival*>>& arrivals,
-                      Findings* found)
+static void CheckQuarantines(const SoakLog& log, const SoakBounds& bounds,
+                             const std::map<std::string, std::vector<const SoakArrival*>>& arrivals, Findings* found)
 {
-    const std::map<std::string, TimeUs> enough = EndedEnough(log, bounds);
+    const std::map<std::string, TimeUs> enough = QuarantineTimes(log, bounds);
     std::map<std::string, size_t> sent_on;
     for (const SoakRequest& request : log.Requests)
     {
@@ -327,7 +330,7 @@
         for (const SoakArrival* arrival : of->second)
         {
             const bool late = arrival->AtUs > ended->second + bounds.TouchUs;
-            if (late && InTouch(log, bounds, arrival->Instance, ended->second, arrival->AtUs, true) &&
+            if (late && IsUndisrupted(log, bounds, arrival->Instance, ended->second, arrival->AtUs, true) &&
                 ++sent_on[request.Path] > bounds.EndsMost)
             {
                 (*found)["sent on though targets end under it"].push_back(request.Id);
@@ -347,15 +350,15 @@
         CheckRequest(log, bounds, request, of != arrivals.end() ? of->second : none, &found);
         CheckVersion(log, bounds, request, of != arrivals.end() ? of->second : none, &found);
     }
-    CheckKnown(log, arrivals, &found);
-    CheckLeavings(log, bounds, &found);
+    CheckUnknownRequests(log, arrivals, &found);
+    CheckDrains(log, bounds, &found);
     CheckEvacuations(log, bounds, &found);
     CheckColds(log, bounds, &found);
     CheckLimits(log, bounds, &found);
-    CheckRests(log, bounds, &found);
-    CheckSaidLeaving(log, bounds, &found);
+    CheckRetryAfter(log, bounds, &found);
+    CheckAnnouncedDrains(log, bounds, &found);
     CheckBudget(log, bounds, &found);
-    CheckEnds(log, bounds, arrivals, &found);
+    CheckQuarantines(log, bounds, arrivals, &found);
     if (log.RecoveryGood < bounds.RecoveryShare * log.RecoveryAsked)
     {
         found["not recovered"].push_back(fmt::format("{} of {}", log.RecoveryGood, log.RecoveryAsked));
--- a/bench/soak_faults.cpp
+++ b/bench/soak_faults.cpp
@@ -140,7 +140,7 @@
     }
 }
 
-static void RemoveTarget(Soak* soak, SoakTarget* target)
+static void UnlistTarget(Soak* soak, SoakTarget* target)
 {
     target->Listed = false;
     UsersStoreRemove(&soak->Store, "servers/" + target->Part.Id);
@@ -156,7 +156,7 @@
     target->Next = TimerStart(&soak->Loop, MsBetween(soak, 2500, 5000),
                               [soak, target]()
                               {
-                                  RemoveTarget(soak, target);
+                                  UnlistTarget(soak, target);
                                   UsersTargetStop(&target->Part);
                               });
 }
@@ -174,7 +174,7 @@
 {
     const std::string before = target->Before.Address;
     UsersTargetStop(&target->Part);
-    RemoveTarget(soak, target);
+    UnlistTarget(soak, target);
     SoakTarget* next = AddTarget(soak, target->Service == "svc" ? "other" : "svc");
     AddTarget(soak, target->Service);
     target->Before.Server = next->Part.Address; // The old address now leads to the new target.
@@ -256,35 +256,35 @@
     {
         return;
     }
-    struct Fault
+    struct NamedFault
     {
         const char* Name;
         void (*Run)(Soak*, SoakInstance*);
     };
-    static const std::array<Fault, 5> faults = {{{"kill", KillInstance},
-                                                 {"pause", PauseInstance},
-                                                 {"stop", StopInstance},
-                                                 {"reload", ReloadInstance},
-                                                 {"cut from store", CutFromStore}}};
-    const Fault& fault = faults[static_cast<size_t>(Between(soak, 0, faults.size() - 1))];
+    static const std::array<NamedFault, 5> faults = {{{"kill", KillInstance},
+                                                      {"pause", PauseInstance},
+                                                      {"stop", StopInstance},
+                                                      {"reload", ReloadInstance},
+                                                      {"cut from store", CutFromStore}}};
+    const NamedFault& fault = faults[static_cast<size_t>(Between(soak, 0, faults.size() - 1))];
     soak->Drawn[fault.Name]++;
     fault.Run(soak, instance);
 }
 
 static void InjectTargetFault(Soak* soak, SoakTarget* target)
 {
-    struct Fault
+    struct NamedFault
     {
         const char* Name;
         void (*Run)(Soak*, SoakTarget*);
     };
-    static const std::array<Fault, 6> faults = {{{"link", DisruptLink},
-                                                 {"spoiled answers", ScriptFaultyAnswers},
-                                                 {"drain", Drain},
-                                                 {"lapse", RemoveEntryBriefly},
-                                                 {"replaced in place", ReplaceInPlace},
-                                                 {"cold", MakeCold}}};
-    const Fault& fault = faults[static_cast<size_t>(Between(soak, 0, faults.size() - 1))];
+    static const std::array<NamedFault, 6> faults = {{{"link", DisruptLink},
+                                                      {"spoiled answers", ScriptFaultyAnswers},
+                                                      {"drain", Drain},
+                                                      {"lapse", RemoveEntryBriefly},
+                                                      {"replaced in place", ReplaceInPlace},
+                                                      {"cold", MakeCold}}};
+    const NamedFault& fault = faults[static_cast<size_t>(Between(soak, 0, faults.size() - 1))];
     soak->Drawn[fault.Name]++;
     fault.Run(soak, target);
 }
--- a/bench/soak_parts.cpp
+++ b/bench/soak_parts.cpp
@@ -1,4 +1,4 @@
-// soak_parts.cpp: the parts of a soak: instances as processes, targets, configurations, callers.
+// soak_parts.cpp: the parts of a soak: instance processes, targets, configurations and callers.
 //
 // Index of this file:
 // [SECTION] Parts
--- a/bench/soak_pipeline.cpp
+++ b/bench/soak_pipeline.cpp
@@ -1,7 +1,7 @@
-// soak_pipeline.cpp: callers of a soak that send several requests on a connection before the first is answered, as HTTP libraries don't.
+// soak_pipeline.cpp: callers of a soak that pipeline requests (HTTP/1.1).
 //
-// Each opens a connection to an instance, sends a batch of requests of all kinds at once, and reads the answers in order; some leave early.
-// What stands behind an answer that closes the connection counts as not read, so that it must not have run.
+// Each opens a connection to an instance, sends a batch of requests of random kinds at once, and reads the answers in order; some close the
+// connection early. Requests behind an answer that closes the connection are logged as not read, and must not have run.
 //
 // Index of this file:
 // [SECTION] Reading answers
@@ -26,17 +26,17 @@
 
 using AnswerParser = http::response_parser<http::string_body>;
 
-// One connection and the requests on it.
+// A connection and the requests on it.
 struct Batch
 {
     int Socket = -1;
     Watch Events;
-    Timer Limit;                 // Gives up, or leaves early.
-    std::string Unsent;          //
-    std::string Read;            // Bytes of the answer that is being read.
-    std::vector<size_t> Waiting; // Indices in the log of requests without an answer, in order.
+    Timer Limit;                 // Timeout of the batch, or its early close.
+    std::string Unsent;          // Request bytes still to send.
+    std::string Read;            // Received bytes that are not parsed yet.
+    std::vector<size_t> Waiting; // Indices in Log.Requests of unanswered requests, in order.
     std::unique_ptr<AnswerParser> Parser;
-    bool Closing = false; // The latest answer said that the connection closes.
+    bool Closing = false; // The latest answer closes the connection.
 
     ~Batch()
     {
@@ -60,7 +60,7 @@
         request.NotRead = batch->Closing;
     }
     batch->Waiting.clear();
-    batch->Events = nullptr; // It holds the batch.
+    batch->Events = nullptr; // The callback holds a reference to the batch.
     batch->Limit = nullptr;
     if (soak->Calling)
     {
@@ -82,7 +82,7 @@
     batch->Closing = !answer.keep_alive();
 }
 
-// Takes all whole answers out of what was read. False if the bytes are no answers, or more than were asked for.
+// Parses the complete answers among the received bytes. False for bytes that are no valid answer or follow the last expected one.
 static bool TakeAnswers(Soak* soak, Batch* batch)
 {
     while (!batch->Read.empty())
@@ -139,7 +139,7 @@
 // [SECTION] Sending a batch
 //-----------------------------------------------------------------------------
 
-// Bytes of one request of a kind drawn by chance; it is entered into the log.
+// The bytes of a request of random kind, which is added to the log.
 static std::string DrawRequest(Soak* soak, Batch* batch, const SoakInstance& instance)
 {
     const SoakRequest request = DrawSoakRequest(soak, instance);
@@ -168,7 +168,7 @@
 
 void AskInBatches(Soak* soak)
 {
-    constexpr int64_t longest = 6; // Requests of a batch.
+    constexpr int64_t longest = 6; // Maximum requests in a batch.
     const SoakInstance* instance = PickInstance(soak);
     if (instance == nullptr)
     {
--- a/bench/soak_spared.cpp
+++ b/bench/soak_spared.cpp
@@ -98,17 +98,17 @@
     {
         return;
     }
-    struct Fault
+    struct NamedFault
     {
         const char* Name;
         void (*Run)(Soak*, SoakTarget*);
     };
-    static const std::array<Fault, 3> faults = {
+    static const std::array<NamedFault, 3> faults = {
         {{"limit", SendLimit}, {"refusal with rest", RefuseWithRetryAfter}, {"says that it leaves", AnnounceDrain}}};
     SoakTarget* target = PickWithoutSignal(soak);
     if (target != nullptr)
     {
-        const Fault& fault = faults[static_cast<size_t>(DrawWithSparedRng(soak, 0, faults.size() - 1))];
+        const NamedFault& fault = faults[static_cast<size_t>(DrawWithSparedRng(soak, 0, faults.size() - 1))];
         soak->Drawn[fault.Name]++;
         fault.Run(soak, target);
     }
