--- a/bench/soak_audit.cpp
+++ b/bench/soak_audit.cpp
@@ -15,7 +15,7 @@
     return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
-// Whether no disruption affected the instance or the store from TouchUs before `from` to `until`. Planned stops count as
+// Whether no disruption of the instance or the store overlaps the time from TouchUs before `from` to `until`. Planned stops count as
 // disruptions only with `planned_counts`.
 static bool IsUndisrupted(const SoakLog& log, const SoakBounds& bounds, int instance, TimeUs from, TimeUs until, bool planned_counts)
 {
