--- a/bench/soak_audit.cpp
+++ b/bench/soak_audit.cpp
@@ -19,13 +19,13 @@
 // disruptions only with `planned_counts`.
 static bool IsUndisrupted(const SoakLog& log, const SoakBounds& bounds, int instance, TimeUs from, TimeUs until, bool planned_counts)
 {
-    const auto strikes = [&](const SoakTrouble& trouble)
+    const auto disrupts = [&](const SoakTrouble& trouble)
     {
         const bool concerns = trouble.Instance == instance || trouble.Instance < 0;
         const bool overlaps = trouble.FromUs < until && trouble.UntilUs > from - bounds.TouchUs;
         return concerns && overlaps && (planned_counts || !trouble.Planned);
     };
-    return std::none_of(log.Troubles.begin(), log.Troubles.end(), strikes);
+    return std::none_of(log.Troubles.begin(), log.Troubles.end(), disrupts);
 }
 
 static std::map<std::string, std::vector<const SoakArrival*>> ByRequest(const SoakLog& log)
@@ -246,8 +246,8 @@
     for (size_t n = 0; n < log.Versions.size(); n++)
     {
         const bool replaced = n + 1 < log.Versions.size() && log.Versions[n + 1].AtUs + bounds.ApplyUs < request.SentUs;
-        const bool came = log.Versions[n].AtUs < (request.EndedUs > 0 ? request.EndedUs : request.SentUs + bounds.ApplyUs);
-        if (!replaced && came)
+        const bool published = log.Versions[n].AtUs < (request.EndedUs > 0 ? request.EndedUs : request.SentUs + bounds.ApplyUs);
+        if (!replaced && published)
         {
             allowed.insert(log.Versions[n].Service);
         }
@@ -318,7 +318,7 @@
                              const std::map<std::string, std::vector<const SoakArrival*>>& arrivals, Findings* found)
 {
     const std::map<std::string, TimeUs> enough = QuarantineTimes(log, bounds);
-    std::map<std::string, size_t> sent_on;
+    std::map<std::string, size_t> sent_later;
     for (const SoakRequest& request : log.Requests)
     {
         const auto ended = enough.find(request.Path);
@@ -331,7 +331,7 @@
         {
             const bool late = arrival->AtUs > ended->second + bounds.TouchUs;
             if (late && IsUndisrupted(log, bounds, arrival->Instance, ended->second, arrival->AtUs, true) &&
-                ++sent_on[request.Path] > bounds.EndsMost)
+                ++sent_later[request.Path] > bounds.EndsMost)
             {
                 (*found)["sent on though targets end under it"].push_back(request.Id);
             }
--- a/bench/users_target.cpp
+++ b/bench/users_target.cpp
@@ -79,40 +79,41 @@
 //-----------------------------------------------------------------------------
 
 // A header line; empty if the protocol has no such header.
-static std::string Line(const std::string& name, const std::string& value)
+static std::string HeaderLine(const std::string& name, const std::string& value)
 {
     return name.empty() ? "" : name + ": " + value + "\r\n";
 }
 
-static std::string Load(const UsersTarget& target)
+static std::string LoadLine(const UsersTarget& target)
 {
     const std::string load = fmt::format("{},{},{},{}", target.Running, target.Waiting.size(), target.Slots, target.PacePercent);
-    return target.TellsLoad ? Line(target.Names.Load, load) : "";
+    return target.TellsLoad ? HeaderLine(target.Names.Load, load) : "";
 }
 
 // Header lines with the load report and the configured signals for an answer with this status.
-static std::string Sayings(const UsersTarget& target, int status)
+static std::string SignalLines(const UsersTarget& target, int status)
 {
-    std::string text = Load(target);
+    std::string text = LoadLine(target);
     for (const Header& header : target.Says)
     {
-        text += Line(header.Name, header.Value);
+        text += HeaderLine(header.Name, header.Value);
     }
     for (const Header& header : status == 503 ? target.SaysRefusing : std::vector<Header>())
     {
-        text += Line(header.Name, header.Value);
+        text += HeaderLine(header.Name, header.Value);
     }
     return text;
 }
 
-static std::string Head(const UsersTarget& target, int status, const std::string& request_id, const std::string& extra)
+static std::string AnswerHead(const UsersTarget& target, int status, const std::string& request_id, const std::string& extra)
 {
-    return fmt::format("HTTP/1.1 {} Said\r\n{}{}{}", status, Line(target.Names.RequestId, request_id), Sayings(target, status), extra);
+    return fmt::format("HTTP/1.1 {} Said\r\n{}{}{}", status, HeaderLine(target.Names.RequestId, request_id), SignalLines(target, status),
+                       extra);
 }
 
-static std::string Signature(const UsersTarget& target, const TargetSaw& request)
+static std::string SignatureLine(const UsersTarget& target, const TargetSaw& request)
 {
-    return Line(target.Names.Signature, target.Id + "." + request.Id);
+    return HeaderLine(target.Names.Signature, target.Id + "." + request.Id);
 }
 
 static std::string BodyFor(const UsersTarget& target, const TargetSaw& request)
@@ -120,7 +121,7 @@
     return fmt::format("{} ran {} {} with {} bytes", target.Id, request.Method, request.Path, request.Body.size());
 }
 
-static std::string Whole(const std::string& head, const std::string& body)
+static std::string CompleteAnswer(const std::string& head, const std::string& body)
 {
     return head + fmt::format("Content-Length: {}\r\n\r\n{}", body.size(), body);
 }
@@ -128,41 +129,41 @@
 // The bytes of an answer, for behaviours that send one.
 static std::string AnswerBytes(const UsersTarget& target, const TargetSaw& request, TargetAct_ act)
 {
-    const std::string signature = Signature(target, request);
+    const std::string signature = SignatureLine(target, request);
     const std::string body = BodyFor(target, request);
-    std::string good = Whole(Head(target, 200, request.Id, signature), body);
+    std::string good = CompleteAnswer(AnswerHead(target, 200, request.Id, signature), body);
     switch (act)
     {
     case TargetAct_Failed:
-        return Whole(Head(target, 500, request.Id, signature), "failed");
+        return CompleteAnswer(AnswerHead(target, 500, request.Id, signature), "failed");
     case TargetAct_Shed:
-        return Whole(Head(target, 503, request.Id, Line(target.Names.NotExecuted, NotRun)), "");
+        return CompleteAnswer(AnswerHead(target, 503, request.Id, HeaderLine(target.Names.NotExecuted, NotRun)), "");
     case TargetAct_BareShed:
-        return Whole(Head(target, 503, request.Id, signature), "");
+        return CompleteAnswer(AnswerHead(target, 503, request.Id, signature), "");
     case TargetAct_Garbage:
         return "\x16\x03\x01 this is no answer\r\n\r\n";
     case TargetAct_CutShort:
-        return Head(target, 200, request.Id, signature) + "Content-Length: 4000\r\n\r\n" + body;
+        return AnswerHead(target, 200, request.Id, signature) + "Content-Length: 4000\r\n\r\n" + body;
     case TargetAct_Unsigned:
-        return Whole(Head(target, 200, request.Id, ""), body);
+        return CompleteAnswer(AnswerHead(target, 200, request.Id, ""), body);
     case TargetAct_Encoded:
-        return Whole(Head(target, 200, request.Id, signature + "Content-Encoding: gzip\r\n"), body);
+        return CompleteAnswer(AnswerHead(target, 200, request.Id, signature + "Content-Encoding: gzip\r\n"), body);
     case TargetAct_Surplus:
-        return good + Whole(Head(target, 200, "surplus", signature), "surplus");
+        return good + CompleteAnswer(AnswerHead(target, 200, "surplus", signature), "surplus");
     case TargetAct_OtherId:
-        return Whole(Head(target, 200, "somebody-else", signature), body);
+        return CompleteAnswer(AnswerHead(target, 200, "somebody-else", signature), body);
     case TargetAct_NoLength:
     case TargetAct_NoLengthReset:
-        return Head(target, 200, request.Id, signature + "Connection: close\r\n") + "\r\n" + body;
+        return AnswerHead(target, 200, request.Id, signature + "Connection: close\r\n") + "\r\n" + body;
     case TargetAct_Trailers:
     {
-        const std::string limit = Line("Server-Limit", "1");
-        const std::string head = Head(target, 200, request.Id, signature + "Transfer-Encoding: chunked\r\nTrailer: Server-Limit\r\n");
+        const std::string limit = HeaderLine("Server-Limit", "1");
+        const std::string head = AnswerHead(target, 200, request.Id, signature + "Transfer-Encoding: chunked\r\nTrailer: Server-Limit\r\n");
         return "HTTP/1.1 103 Early Hints\r\n" + limit + "\r\n" + head +
                fmt::format("\r\n{:x}\r\n{}\r\n0\r\n{}\r\n", body.size(), body, limit);
     }
     case TargetAct_Closing:
-        return Whole(Head(target, 200, request.Id, signature + "Connection: close\r\n"), body);
+        return CompleteAnswer(AnswerHead(target, 200, request.Id, signature + "Connection: close\r\n"), body);
     default:
         return good;
     }
@@ -176,7 +177,8 @@
 
 static void SendLateSurplus(UsersTarget* target, TargetConnection* connection)
 {
-    const std::string bytes = Whole(Head(*target, 200, "surplus", Line(target->Names.Signature, "surplus")), "surplus");
+    const std::string bytes =
+        CompleteAnswer(AnswerHead(*target, 200, "surplus", HeaderLine(target->Names.Signature, "surplus")), "surplus");
     connection->Later = TimerStart(target->Loop, SurplusDelayUs,
                                    [target, id = connection->Id, bytes]()
                                    {
@@ -292,7 +294,7 @@
     if (expected != nullptr && *expected != target->Id)
     {
         connection->Busy = false;
-        Write(*connection, Whole(Head(*target, 421, request.Id, Line(target->Names.TargetId, target->Id)), ""));
+        Write(*connection, CompleteAnswer(AnswerHead(*target, 421, request.Id, HeaderLine(target->Names.TargetId, target->Id)), ""));
         return;
     }
     if (IsFull(*target) && target->ResetsWhenFull)
@@ -347,10 +349,10 @@
     {
         return;
     }
-    const std::string id = Line(target->Names.TargetId, target->Id);
-    const std::string cold = target->ColdMs > 0 ? Line(target->Names.ColdMs, std::to_string(target->ColdMs)) : "";
+    const std::string id = HeaderLine(target->Names.TargetId, target->Id);
+    const std::string cold = target->ColdMs > 0 ? HeaderLine(target->Names.ColdMs, std::to_string(target->ColdMs)) : "";
     const int status = target->Ill ? 503 : 200;
-    Write(connection, fmt::format("HTTP/1.1 {} Health\r\n{}{}{}Content-Length: 0\r\n\r\n", status, id, cold, Sayings(*target, status)));
+    Write(connection, fmt::format("HTTP/1.1 {} Health\r\n{}{}{}Content-Length: 0\r\n\r\n", status, id, cold, SignalLines(*target, status)));
 }
 
 static size_t LengthOf(const TargetSaw& request)
@@ -385,7 +387,7 @@
         target->Saw.push_back(request);
         read.erase(0, end + 4);
         connection->SkipBytes = length;
-        Write(*connection, Whole(Head(*target, 400, request.Id, Signature(*target, request)), "too long"));
+        Write(*connection, CompleteAnswer(AnswerHead(*target, 400, request.Id, SignatureLine(*target, request)), "too long"));
         return true;
     }
     if (read.size() < end + 4 + length)
