--- a/bench/bench.h
+++ b/bench/bench.h
@@ -1,4 +1,4 @@
-// bench.h: the commands of the bench tool, and the numbers they print. The tool is no part of the product.
+// bench.h: the commands of winchbench and statistics for their output. winchbench is a development tool and not part of the product.
 //
 // Index of this file:
 // [SECTION] Commands
@@ -26,12 +26,13 @@
 // [SECTION] Numbers
 //-----------------------------------------------------------------------------
 
-// Exact quantile of samples; 0 without samples.
+// Returns the exact quantile of the samples; 0 if there are none.
 double QuantileOf(std::vector<double> samples, double quantile);
 
+// Median and range of repeated measurements.
 struct Spread
 {
-    double Median = 0; // Of repeated runs.
+    double Median = 0;
     double Least = 0;
     double Most = 0;
 };
