--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -1,9 +1,9 @@
-// fleet.cpp: a small fleet on this machine for experiments.
+// fleet.cpp: runs a small fleet on this machine for benchmarks.
 //
 // Index of this file:
 // [SECTION] Table and targets
 // [SECTION] Instances
-// [SECTION] Asking
+// [SECTION] Metrics
 // [SECTION] Noise
 // [SECTION] Load
 
@@ -202,7 +202,7 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Asking
+// [SECTION] Metrics
 //-----------------------------------------------------------------------------
 
 double FleetMetric(Fleet* fleet, size_t index, const std::string& name)
@@ -247,7 +247,7 @@
 namespace
 {
 
-// A load that is being played.
+// State of a running load generator.
 struct LoadRun
 {
     Fleet* Owner = nullptr;
@@ -270,7 +270,7 @@
 {
     if (answer.End == ClientEnd_NotConnected && entry + 1 < index + run->Entries.size())
     {
-        SendTo(run, index, entry + 1, planned); // Nothing was sent: as the balancer does, to the next one.
+        SendTo(run, index, entry + 1, planned); // Nothing was sent, so the request can go to the next instance.
         return;
     }
     LoadRecord& record = run->Records[index];
@@ -315,7 +315,7 @@
     return static_cast<TimeUs>(seconds * static_cast<double>(UsPerSecond));
 }
 
-// Sends all that is due and sleeps until the next arrival.
+// Sends all requests that are due and sets the timer for the next arrival.
 static void SendDue(LoadRun* run)
 {
     const TimeUs now = NowUs();
