--- a/bench/fleet.h
+++ b/bench/fleet.h
@@ -1,7 +1,7 @@
-// fleet.h: a small fleet on this machine for experiments: real instances with a table, and in this process's event loop the service that
-// serves the table, the targets and the callers.
+// fleet.h: runs a small fleet on this machine for benchmarks: instances as separate processes; the table's store, simulated targets and a
+// load generator in this process's event loop.
 //
-// Everything that was started is stopped when the Fleet goes out of scope.
+// The destructor of Fleet ends all instances.
 //
 // Index of this file:
 // [SECTION] Fleet
@@ -22,19 +22,19 @@
 
 struct FleetRow
 {
-    std::string Name; // Service, and its path: "/NAME/".
+    std::string Name; // Name of the service; its path prefix is "/NAME/".
     Class_ Class = Class_Normal;
     int Targets = 4;
     int Slots = 3;
-    TimeUs WorkUs = 8 * UsPerMs; // At a target's usual pace.
+    TimeUs WorkUs = 8 * UsPerMs; // Service time at a target's normal speed.
     int DeadlineMs = 1000;
-    bool Asks = true; // The table names a health path.
+    bool Asks = true; // The row has a health path, so its targets are probed.
 };
 
 struct FleetPlan
 {
-    std::string Program = "winchlink"; // The daemon, beside the bench tool.
-    std::vector<Header> Environment;   // Added for instances.
+    std::string Program = "winchlink"; // Executable of the instances, in the folder of winchbench.
+    std::vector<Header> Environment;   // Added to the environment of the instances.
     int Instances = 3;
     int DataCentres = 1;
     std::vector<FleetRow> Rows;
@@ -42,7 +42,7 @@
 
 struct FleetInstance
 {
-    pid_t Pid = -1; // -1: not running.
+    pid_t Pid = -1; // -1 if not running.
     std::string Callers;
     std::string Ready;
     std::string Pages;
@@ -54,7 +54,7 @@
 {
     UsersTarget Part;
     std::string Row;
-    Timer Noise; // Its next change of pace.
+    Timer Noise; // Next change of the target's speed.
 };
 
 struct Fleet
@@ -63,10 +63,10 @@
     EventLoop Loop;
     UsersStore Store;
     Client Calls;
-    std::string Folder;                                // Settings and logs.
-    std::map<std::string, ServiceRow> Rows;            // As published last.
-    std::vector<std::unique_ptr<FleetTarget>> Targets; //
-    std::vector<FleetInstance> Instances;              //
+    std::string Folder;                     // Settings and logs.
+    std::map<std::string, ServiceRow> Rows; // Rows by name, as last published.
+    std::vector<std::unique_ptr<FleetTarget>> Targets;
+    std::vector<FleetInstance> Instances;
 
     Fleet() = default;
     ~Fleet();
@@ -74,33 +74,33 @@
     Fleet& operator=(const Fleet&) = delete;
 };
 
-// Starts all and waits until every instance is ready. If that does not come: false, and a line that says where the logs are.
+// Starts the fleet and waits until every instance is ready. On failure prints the folder of the logs and returns false.
 bool FleetStart(Fleet* fleet, const FleetPlan& plan);
 
-// Publishes a row as it stands in fleet->Rows.
+// Writes the current value of fleet->Rows[row] to the store.
 void FleetPublish(Fleet* fleet, const std::string& row);
 
 void FleetKillInstance(Fleet* fleet, size_t index);
 
-// Lets the loop run.
+// Runs the event loop for `time`.
 void FleetRun(Fleet* fleet, TimeUs time);
 
-// A value of an instance's metrics page; 0 if it is not there.
+// Returns a value of an instance's metrics page; 0 if it is missing.
 double FleetMetric(Fleet* fleet, size_t index, const std::string& name);
 
-// Targets whose pace changes by itself: bursts of `factor` times slower work, `share` of the time, each `burst` long in the mean.
+// Slows down each target at random: it is `factor` times slower for the given share of the time, in bursts of mean length `burst`.
 void FleetAddNoise(Fleet* fleet, double share, int factor, TimeUs burst, Random* random);
 
 //-----------------------------------------------------------------------------
 // [SECTION] Load
 //-----------------------------------------------------------------------------
 
-// A kind of call in the mix.
+// A class of requests in the generated load.
 struct LoadKind
 {
-    std::string Row; // Which row it calls.
+    std::string Row; // Name of the row that is called.
     std::string Method = "GET";
-    double PerSecond = 0; // Mean arrivals.
+    double PerSecond = 0; // Mean arrival rate.
     int DeadlineMs = 1000;
 };
 
@@ -108,33 +108,33 @@
 {
     size_t Kind = 0;      // Index into the kinds.
     std::string Id;       // Request id.
-    TimeUs LatencyUs = 0; // From the planned arrival, so that a slow answer is not hidden by calls that were sent late because of it.
-    int Status = 0;       // 0: no whole answer.
-    int Code = 0;         // Winchlink's result code, 0 if none.
-    bool InTime = false;  // Good, and within its deadline.
+    TimeUs LatencyUs = 0; // From the planned arrival time, which avoids coordinated omission.
+    int Status = 0;       // HTTP status; 0 without a complete answer.
+    int Code = 0;         // Result code of winchlink; 0 if none.
+    bool InTime = false;  // Status below 500, within the deadline.
 };
 
-// Plays arrivals drawn from a seed and keeps to them, whatever the answers do. Calls go to `entries` in turn.
+// Generates an open-loop load with Poisson arrivals drawn from `seed`. Requests go to the addresses in `entries` in round-robin order.
 std::vector<LoadRecord> FleetPlayLoad(Fleet* fleet, const std::vector<std::string>& entries, const std::vector<LoadKind>& kinds,
                                       TimeUs length, uint64_t seed);
 
 struct LoadSummary
 {
     size_t Count = 0;
-    size_t Good = 0;   // Status below 500 and complete.
-    size_t InTime = 0; // Good, and within the deadline.
-    size_t Refused = 0;
-    size_t Failed = 0; // Anything else.
-    double P50Ms = 0;  // Of the good ones.
+    size_t Good = 0;    // Complete, with a status below 500.
+    size_t InTime = 0;  // Good and within the deadline.
+    size_t Refused = 0; // Status 503.
+    size_t Failed = 0;  // All others.
+    double P50Ms = 0;   // Quantiles of the good requests.
     double P99Ms = 0;
     double P999Ms = 0;
-    double P99AllMs = 0; // Of all: one without a good answer counts with its deadline, so that failing fast does not look quick.
+    double P99AllMs = 0; // Of all requests; one that is not good counts with at least its deadline, so that fast failures do not lower it.
 };
 
-// Of one kind, or of all if `kind` is negative.
+// Summarizes the records of one kind, or of all kinds if `kind` is negative.
 LoadSummary Summarize(const std::vector<LoadRecord>& records, const std::vector<LoadKind>& kinds, int kind);
 
-// Addresses of all instances that run.
+// Returns the caller addresses of all running instances.
 std::vector<std::string> FleetEntries(const Fleet& fleet);
 
 } // namespace Winchlink
