--- a/bench/process.cpp
+++ b/bench/process.cpp
@@ -1,9 +1,9 @@
-// process.cpp: starting the real programs, and free loopback ports for them.
+// process.cpp: starts and ends child processes, finds free loopback ports for them, and reads their use of processor and memory.
 //
 // Index of this file:
 // [SECTION] Processes
 // [SECTION] Ports
-// [SECTION] What a process takes
+// [SECTION] Resource usage
 
 #include "process.h"
 
@@ -75,7 +75,7 @@
     posix_spawnattr_init(&attributes);
     sigset_t none;
     sigemptyset(&none);
-    posix_spawnattr_setsigmask(&attributes, &none); // The child must hear its stop signal whatever we block.
+    posix_spawnattr_setsigmask(&attributes, &none); // The child must not inherit blocked signals: it is stopped by one.
     posix_spawnattr_setflags(&attributes, POSIX_SPAWN_SETSIGMASK);
     pid_t pid = -1;
     if (posix_spawn(&pid, arguments[0], &actions, &attributes, arguments.data(), variables.data()) != 0)
@@ -126,8 +126,7 @@
 // [SECTION] Ports
 //-----------------------------------------------------------------------------
 
-// Ports below the range from which the kernel takes the ports of outgoing connections; asking the kernel for free ones gave the same
-// port twice in a fleet of 64.
+// Ports below the kernel's ephemeral range. Ports chosen by the kernel (bind to port 0) are not used: it may return the same one twice.
 static constexpr int FirstPort = 10000;
 static constexpr int PortCount = 22000;
 
@@ -166,7 +165,7 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] What a process takes
+// [SECTION] Resource usage
 //-----------------------------------------------------------------------------
 
 int64_t CpuTimeUs(pid_t pid)
@@ -179,7 +178,7 @@
     {
         return -1;
     }
-    // After the name: state, ten numbers, then user and system time in ticks.
+    // The fields after the name: state, ten numbers, then user and system time in ticks.
     constexpr int before_user = 11;
     std::istringstream fields(text.substr(name_end + 2));
     std::string field;
