--- a/bench/proxy.cpp
+++ b/bench/proxy.cpp
@@ -1,4 +1,4 @@
-// proxy.cpp: a loopback proxy inside an event loop.
+// proxy.cpp: a TCP proxy for fault injection.
 
 #include "proxy.h"
 
@@ -11,15 +11,15 @@
 {
 
 static constexpr size_t ReadAtOnce = 64 * KiB;
-static constexpr size_t HeldMost = MiB; // More than that is not read: the sender waits, as on a real link.
+static constexpr size_t HeldMost = MiB; // Limit of buffered bytes per direction; beyond it TCP flow control stops the sender.
 
-// One direction of a connection.
+// One direction of a proxied connection.
 struct ProxyFlow
 {
     int From = -1;
     int To = -1;
     Watch Readable;
-    std::string Held; // Read and not passed on yet.
+    std::string Held; // Read but not forwarded yet.
     bool Ended = false;
     Timer Later;
 };
@@ -28,8 +28,8 @@
 {
     int Caller = -1;
     int Server = -1;
-    ProxyFlow Up;   // To the server.
-    ProxyFlow Down; // Back.
+    ProxyFlow Up;   // Caller to server.
+    ProxyFlow Down; // Server to caller.
 
     ~ProxyPair()
     {
@@ -64,7 +64,7 @@
     return proxy.Mode == ProxyMode_Good || proxy.Mode == ProxyMode_Delay || (proxy.Mode == ProxyMode_OneWay && !down);
 }
 
-// Passes on what is held; false if the connection is over.
+// Forwards the buffered bytes. Returns false once the sender has closed and all bytes are forwarded.
 static bool Pass(Proxy* proxy, ProxyPair* pair, ProxyFlow* flow)
 {
     if (!Passes(*proxy, *pair, *flow))
@@ -92,7 +92,7 @@
         proxy->Pairs.erase(id);
         return;
     }
-    constexpr TimeUs again = 5 * UsPerMs; // The receiver did not take all, or the mode holds it back.
+    constexpr TimeUs again = 5 * UsPerMs; // For when the receiver did not accept all bytes, or the mode forbids forwarding.
     if (!flow->Held.empty() || flow->Ended)
     {
         flow->Later = TimerStart(proxy->Loop, again, [proxy, id, up]() { PassLater(proxy, id, up); });
@@ -144,7 +144,7 @@
     if (connect(server, reinterpret_cast<const sockaddr*>(&to), sizeof to) != 0)
     {
         close(server);
-        close(caller); // The server is gone, and so is the connection.
+        close(caller); // The server does not accept connections.
         return;
     }
     const uint64_t id = ++proxy->LastPair;
