--- a/bench/proxy.h
+++ b/bench/proxy.h
@@ -1,4 +1,4 @@
-// proxy.h: a loopback proxy inside an event loop that delays, resets, silences or cuts one way what passes through it.
+// proxy.h: a TCP proxy for fault injection. It delays, drops or resets the traffic of its connections, or drops one direction only.
 
 #pragma once
 
@@ -9,11 +9,11 @@
 
 enum ProxyMode_ : int
 {
-    ProxyMode_Good,
-    ProxyMode_Delay,  // Bytes wait for DelayUs, in both directions.
-    ProxyMode_Silent, // Connections come up; no byte passes.
-    ProxyMode_OneWay, // Bytes pass to the server and not back.
-    ProxyMode_Reset,  // Open connections were reset; new ones are too.
+    ProxyMode_Good,   // Forwards in both directions.
+    ProxyMode_Delay,  // Delays bytes by DelayUs in both directions.
+    ProxyMode_Silent, // Accepts connections but forwards nothing.
+    ProxyMode_OneWay, // Forwards to the server, but not to the caller.
+    ProxyMode_Reset,  // Resets open and new connections.
     ProxyMode_COUNT,
 };
 
@@ -22,13 +22,13 @@
 struct Proxy
 {
     EventLoop* Loop = nullptr;
-    std::string Address; // Where it listens.
-    std::string Server;  // Where it leads.
+    std::string Address; // Address to listen on.
+    std::string Server;  // Address to connect to.
     ProxyMode_ Mode = ProxyMode_Good;
     TimeUs DelayUs = 50 * UsPerMs;
     int Listening = -1;
     Watch Accepting;
-    std::map<uint64_t, std::unique_ptr<ProxyPair>> Pairs; // Connections.
+    std::map<uint64_t, std::unique_ptr<ProxyPair>> Pairs; // Open connections by number.
     uint64_t LastPair = 0;
 
     Proxy();
@@ -37,10 +37,10 @@
     Proxy& operator=(const Proxy&) = delete;
 };
 
-// False if the address can't be had.
+// Returns false if it cannot listen on the address.
 bool ProxyStart(Proxy* proxy, EventLoop* loop, const std::string& address, const std::string& server);
 
-// From now on. Bytes that were held are passed on when it turns good.
+// Applies to open and new connections. Bytes that were held back are forwarded once the mode allows it.
 void ProxySetMode(Proxy* proxy, ProxyMode_ mode);
 
 } // namespace Winchlink
