--- a/bench/added.cpp
+++ b/bench/added.cpp
@@ -1,8 +1,7 @@
-// added.cpp: winchbench added: the latency that an instance adds, against calling the target stand-in directly, in one run.
+// added.cpp: winchbench added: measures the latency that an instance adds.
 //
-// The same trace is played to the target and through one instance, in turn, several times; the target answers after a fixed time, so that
-// the difference of the quantiles is what the instance adds. It is played twice: with targets that are asked for their load right before
-// each request, and with targets that are not.
+// Sends the same load directly to a simulated target and through one instance, alternating for several rounds. The target answers after a
+// fixed time, so the difference of the quantiles is the added latency. Runs with and without load probes.
 
 #include "bench.h"
 #include "fleet.h"
@@ -18,31 +17,31 @@
     std::vector<double> DirectP99;
     std::vector<double> AddedP50;
     std::vector<double> AddedP99;
-    size_t NotGood = 0; // Calls without a good answer.
+    size_t WithoutGoodAnswer = 0; // Requests through the instance without a good answer.
 };
 
-static void PlayBoth(Fleet* fleet, double rate, int round, AddedSamples* out)
+static void MeasureAdded(Fleet* fleet, double rate, int round, AddedSamples* out)
 {
     constexpr TimeUs length = 5 * UsPerSecond;
     const std::vector<LoadKind> kinds = {{"plain", "GET", rate, 2000}};
     const auto seed = static_cast<uint64_t>(round) + 1;
-    const auto direct = FleetPlayLoad(fleet, {fleet->Targets[0]->Part.Address}, kinds, length, seed);
-    const auto through = FleetPlayLoad(fleet, FleetEntries(*fleet), kinds, length, seed);
+    const auto direct = FleetRunLoad(fleet, {fleet->Targets[0]->Part.Address}, kinds, length, seed);
+    const auto through = FleetRunLoad(fleet, FleetEntries(*fleet), kinds, length, seed);
     const LoadSummary without = Summarize(direct, kinds, -1);
     const LoadSummary with = Summarize(through, kinds, -1);
     out->DirectP99.push_back(without.P99Ms);
     out->AddedP50.push_back(with.P50Ms - without.P50Ms);
     out->AddedP99.push_back(with.P99Ms - without.P99Ms);
-    out->NotGood += with.Count - with.Good;
+    out->WithoutGoodAnswer += with.Count - with.Good;
 }
 
 static std::string Cell(const std::vector<double>& values)
 {
     const Spread s = SpreadOf(values);
-    return fmt::format("{:.2f} ({:.2f} to {:.2f})", s.Median, s.Least, s.Most);
+    return fmt::format("{:.2f} ({:.2f} to {:.2f})", s.Median, s.Min, s.Max);
 }
 
-static bool PlayRates(bool asks, int rounds)
+static bool MeasureRates(bool probes, int rounds)
 {
     Fleet fleet;
     FleetPlan plan;
@@ -52,7 +51,7 @@
     row.Targets = 1;
     row.Slots = 1000;
     row.WorkUs = 2 * UsPerMs;
-    row.Asks = asks;
+    row.UsesProbes = probes;
     plan.Rows = {row};
     if (!FleetStart(&fleet, plan))
     {
@@ -63,10 +62,10 @@
         AddedSamples samples;
         for (int round = 0; round < rounds; round++)
         {
-            PlayBoth(&fleet, rate, round, &samples);
+            MeasureAdded(&fleet, rate, round, &samples);
         }
-        fmt::print("| {} | {:.0f} | {} | {} | {} | {} |\n", asks ? "yes" : "no", rate, Cell(samples.DirectP99), Cell(samples.AddedP50),
-                   Cell(samples.AddedP99), samples.NotGood);
+        fmt::print("| {} | {:.0f} | {} | {} | {} | {} |\n", probes ? "yes" : "no", rate, Cell(samples.DirectP99), Cell(samples.AddedP50),
+                   Cell(samples.AddedP99), samples.WithoutGoodAnswer);
         fflush(stdout);
     }
     return true;
@@ -81,8 +80,8 @@
     {
         return *parsed.Exit;
     }
-    fmt::print("| asked | calls/s | direct p99 ms | added p50 ms | added p99 ms | not good |\n|---|---|---|---|---|---|\n");
-    const bool good = PlayRates(true, rounds) && PlayRates(false, rounds);
+    fmt::print("| probes | calls/s | direct p99 ms | added p50 ms | added p99 ms | not good |\n|---|---|---|---|---|---|\n");
+    const bool good = MeasureRates(true, rounds) && MeasureRates(false, rounds);
     return good ? 0 : 1;
 }
 
