--- a/bench/baselines.cpp
+++ b/bench/baselines.cpp
@@ -1,12 +1,12 @@
-// baselines.cpp: ordinary policies, behind the product's own interface, for comparison.
+// baselines.cpp: common load-balancing policies with the interface of winchlink_pick.cpp, for comparison.
 //
-// The bench build of the daemon (winchlink_baselines) links this file in place of winchlink_pick.cpp. WINCHBENCH_POLICY names the policy:
-//   roundrobin      in turn
-//   random          by chance
-//   least           fewest requests in flight, in this instance's own view
-//   two             two random candidates, the one with fewer in flight in this instance's own view
-//   reported        least load as last reported, whatever its age
-// Targets are not asked for their load, and failures are not remembered: that is what makes them ordinary.
+// winchlink_baselines, a variant of the daemon, links this file in place of winchlink_pick.cpp. WINCHBENCH_POLICY names the policy:
+//   roundrobin      round robin; the default
+//   random          uniformly random
+//   least           fewest requests in flight from this instance
+//   two             power of two choices, by requests in flight from this instance
+//   reported        least load in the last report, whatever its age
+// These policies send no load probes and do not avoid targets after failures.
 
 #include "winchlink.h"
 
@@ -36,20 +36,20 @@
     return candidates;
 }
 
-static PoolTarget* Draw(const std::vector<PoolTarget*>& from, Random* random)
+static PoolTarget* DrawRandom(const std::vector<PoolTarget*>& from, Random* random)
 {
     return from[std::uniform_int_distribution<size_t>(0, from.size() - 1)(*random)];
 }
 
-static PoolTarget* InTurn(const std::vector<PoolTarget*>& from)
+static PoolTarget* RoundRobin(const std::vector<PoolTarget*>& from)
 {
     static size_t turn = 0;
     return from[turn++ % from.size()];
 }
 
-template <class Load> static PoolTarget* Least(std::vector<PoolTarget*> from, Random* random, Load load)
+template <class Load> static PoolTarget* LeastLoaded(std::vector<PoolTarget*> from, Random* random, Load load)
 {
-    std::shuffle(from.begin(), from.end(), *random); // Or the first of equals would get everything.
+    std::shuffle(from.begin(), from.end(), *random); // Breaks ties at random.
     return *std::min_element(from.begin(), from.end(), [&](const PoolTarget* a, const PoolTarget* b) { return load(*a) < load(*b); });
 }
 
@@ -63,26 +63,26 @@
     }
     if (name == "random")
     {
-        return Draw(from, random);
+        return DrawRandom(from, random);
     }
     if (name == "least")
     {
-        return Least(from, random, [](const PoolTarget& t) { return t.InFlight; });
+        return LeastLoaded(from, random, [](const PoolTarget& t) { return t.InFlight; });
     }
     if (name == "reported")
     {
-        return Least(from, random, [](const PoolTarget& t) { return t.Report.Running + t.Report.Waiting; });
+        return LeastLoaded(from, random, [](const PoolTarget& t) { return t.Report.Running + t.Report.Waiting; });
     }
     if (name == "two")
     {
-        PoolTarget* a = Draw(from, random);
-        PoolTarget* b = Draw(from, random);
+        PoolTarget* a = DrawRandom(from, random);
+        PoolTarget* b = DrawRandom(from, random);
         return b->InFlight < a->InFlight ? b : a;
     }
-    return InTurn(from);
+    return RoundRobin(from);
 }
 
-// Baselines ask nobody: their table names no health path.
+// Never called: the table of the baselines names no health path, so there are no probes.
 PoolTarget* PoolNext(TargetPool*, const std::vector<std::string>&, bool, TimeUs)
 {
     return nullptr;
