--- a/bench/bench.h
+++ b/bench/bench.h
@@ -33,8 +33,8 @@
 struct Spread
 {
     double Median = 0;
-    double Least = 0;
-    double Most = 0;
+    double Min = 0;
+    double Max = 0;
 };
 
 Spread SpreadOf(const std::vector<double>& values);
