--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -1,7 +1,7 @@
-// capacity.cpp: winchbench capacity: the slopes from which docs/CAPACITY.md is worked out.
+// capacity.cpp: winchbench capacity: measures the figures of docs/CAPACITY.md.
 //
-// Three series with one instance each: rows of the table and edits of them, followers of a reader, calls. What each costs is read from
-// the kernel (memory, processor time of the process) and from the instance itself (the longest step of its one thread).
+// Measures how the cost of one instance grows with the rows of the table, with the number of followers and with the request rate. Memory
+// and processor time are read from /proc; the longest event-loop step is read from the instance's metrics.
 
 #include "bench.h"
 #include "clock.h"
@@ -16,14 +16,14 @@
 
 static constexpr int TargetsPerRow = 11;
 
-static constexpr TimeUs SettleUs = 3 * UsPerSecond; // Until what was just started has nothing more to do.
+static constexpr TimeUs SettleUs = 3 * UsPerSecond; // Time for start-up work to finish.
 
 static double CpuShare(int64_t used_us, TimeUs span)
 {
     return static_cast<double>(used_us) / static_cast<double>(span) * 100;
 }
 
-// Lets the fleet settle; then the processor time in percent of a core that its one instance takes while nothing happens.
+// Waits for start-up work to finish, then returns the processor use of the idle instance in percent of a core.
 static double MeasureIdle(Fleet* fleet)
 {
     constexpr TimeUs idle = 5 * UsPerSecond;
@@ -38,7 +38,7 @@
 // [SECTION] Rows and edits
 //-----------------------------------------------------------------------------
 
-// Rows whose targets nobody calls: only their entries count.
+// Publishes rows with targets that are never called.
 static void PublishRows(Fleet* fleet, int rows)
 {
     constexpr int first_port = 1000;
@@ -56,10 +56,11 @@
     }
 }
 
-static bool PlayRows(int rows)
+static bool MeasureRows(int rows)
 {
     constexpr int edits = 40;
-    constexpr TimeUs between_edits = 500 * UsPerMs; // Longer than changes are gathered: each edit costs a step of its own.
+    constexpr TimeUs between_edits =
+        500 * UsPerMs; // Longer than the batching interval for changes, so that each edit is applied separately.
     Fleet fleet;
     FleetPlan plan;
     plan.Instances = 1;
@@ -95,21 +96,21 @@
 struct Follower
 {
     StoreReader Reader;
-    TimeUs HeardUs = 0; // Of the latest change.
+    TimeUs LastChangeUs = 0; // Time of the last change received; 0 if none.
 };
 
 static void StartFollower(Fleet* fleet, Follower* follower, Client* client, Random* random)
 {
     const std::string& address = fleet->Instances[0].Peers;
-    const TimeUs patience = UsPerSecond; // For a wait, its answer, and a page.
+    const TimeUs patience = UsPerSecond; // Long poll, its answer, and a page.
     follower->Reader.FromInstance = {RelayDialect({}), patience, patience, 0, patience, patience};
-    follower->Reader.FromStore = follower->Reader.FromInstance; // There is none: the instance is there all the time.
+    follower->Reader.FromStore = follower->Reader.FromInstance; // Not used: the instance is always reachable.
     FollowSetSources(&follower->Reader.Following, "", address, {address}, random);
     follower->Reader.OnAll = [](const StorePage&, uint64_t) {
     };
     follower->Reader.OnChanges = [follower](const std::vector<StoreItem>&, uint64_t)
     {
-        follower->HeardUs = NowUs();
+        follower->LastChangeUs = NowUs();
     };
     follower->Reader.OnTrouble = [](const std::string&, TimeUs) {
     };
@@ -118,7 +119,7 @@
     StoreReaderStart(&follower->Reader, &fleet->Loop, client, random);
 }
 
-static bool PlayFollowers(int count)
+static bool MeasureFollowers(int count)
 {
     constexpr int edits = 10;
     Fleet fleet;
@@ -149,7 +150,7 @@
         TimeUs last = 0;
         for (const auto& follower : followers)
         {
-            last = std::max(last, follower->HeardUs);
+            last = std::max(last, follower->LastChangeUs);
         }
         last_ms.push_back(static_cast<double>(last - published) / UsPerMs);
     }
@@ -164,13 +165,13 @@
 // [SECTION] Calls
 //-----------------------------------------------------------------------------
 
-static bool PlayCalls(bool asks, double rate)
+static bool MeasureCalls(bool probes, double rate)
 {
     constexpr TimeUs length = 6 * UsPerSecond;
     Fleet fleet;
     FleetPlan plan;
     plan.Instances = 1;
-    plan.Rows = {{"plain", Class_Normal, TargetsPerRow, 100, 2 * UsPerMs, 1000, asks}};
+    plan.Rows = {{"plain", Class_Normal, TargetsPerRow, 100, 2 * UsPerMs, 1000, probes}};
     if (!FleetStart(&fleet, plan))
     {
         return false;
@@ -178,19 +179,19 @@
     const pid_t pid = fleet.Instances[0].Pid;
     const std::vector<LoadKind> kinds = {{"plain", "GET", rate, 1000}};
     const int64_t from = CpuTimeUs(pid);
-    const auto records = FleetPlayLoad(&fleet, FleetEntries(fleet), kinds, length, 1);
+    const auto records = FleetRunLoad(&fleet, FleetEntries(fleet), kinds, length, 1);
     const int64_t used = CpuTimeUs(pid) - from;
     const LoadSummary s = Summarize(records, kinds, -1);
-    const double questions = FleetMetric(&fleet, 0, "winchlink_load_questions") / static_cast<double>(s.Count);
-    fmt::print("| {} | {:.0f} | {} of {} | {:.1f} | {:.0f} | {:.2f} | {:.2f} | {:.2f} | {:.1f} |\n", asks ? "yes" : "no", rate, s.Good,
-               s.Count, CpuShare(used, length), static_cast<double>(used) / static_cast<double>(s.Count), questions, s.P50Ms, s.P99Ms,
+    const double probes_per_call = FleetMetric(&fleet, 0, "winchlink_load_questions") / static_cast<double>(s.Count);
+    fmt::print("| {} | {:.0f} | {} of {} | {:.1f} | {:.0f} | {:.2f} | {:.2f} | {:.2f} | {:.1f} |\n", probes ? "yes" : "no", rate, s.Good,
+               s.Count, CpuShare(used, length), static_cast<double>(used) / static_cast<double>(s.Count), probes_per_call, s.P50Ms, s.P99Ms,
                static_cast<double>(ResidentKb(pid)) / 1024);
     fflush(stdout);
     return true;
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] The command
+// [SECTION] Command
 //-----------------------------------------------------------------------------
 
 int RunCapacity(int argc, const char** argv)
@@ -203,25 +204,25 @@
     }
     bool good = true;
     fmt::print(
-        "Rows of {} targets\n\n| rows | resident MB | idle cpu % | cpu ms an edit | longest step ms | plan |\n|---|---|---|---|---|---|\n",
+        "Rows of {} targets\n\n| rows | resident MB | idle cpu % | cpu ms per edit | longest step ms | plan |\n|---|---|---|---|---|---|\n",
         TargetsPerRow);
     for (const int rows : {10, 150, 300, 600})
     {
-        good = good && PlayRows(rows);
+        good = good && MeasureRows(rows);
     }
-    fmt::print("\nFollowers of one instance\n\n| followers | idle cpu % | resident MB | longest step ms | an edit at the last one, ms |\n"
+    fmt::print("\nFollowers of one instance\n\n| followers | idle cpu % | resident MB | longest step ms | edit at the last follower, ms |\n"
                "|---|---|---|---|---|\n");
     for (const int followers : {1, 16, 64, 256})
     {
-        good = good && PlayFollowers(followers);
+        good = good && MeasureFollowers(followers);
     }
-    fmt::print("\nCalls\n\n| asked | calls/s | good | cpu % | cpu us a call | questions a call | p50 ms | p99 ms | resident MB |\n"
+    fmt::print("\nCalls\n\n| probes | calls/s | good | cpu % | cpu us per call | probes per call | p50 ms | p99 ms | resident MB |\n"
                "|---|---|---|---|---|---|---|---|---|\n");
-    for (const bool asks : {true, false})
+    for (const bool probes : {true, false})
     {
         for (const double rate : {120.0, 500.0, 1500.0})
         {
-            good = good && PlayCalls(asks, rate);
+            good = good && MeasureCalls(probes, rate);
         }
     }
     return good ? 0 : 1;
