--- a/bench/demo.cpp
+++ b/bench/demo.cpp
@@ -1,6 +1,7 @@
-// demo.cpp: winchbench demo: three instances, three rows, an edit, a target that leaves and a kill, and a table of what came of it.
+// demo.cpp: winchbench demo: runs three instances under load for ten seconds, takes a target out of service, kills an instance, and prints
+// the results.
 //
-// Bounded in time; everything it starts is stopped when it ends.
+// All processes that it starts are ended before it returns.
 
 #include "bench.h"
 #include "clock.h"
@@ -14,7 +15,7 @@
 
 static constexpr TimeUs DemoUs = 10 * UsPerSecond;
 static constexpr size_t KilledInstance = 2;
-static constexpr size_t LeavingTarget = 0;
+static constexpr size_t RemovedTarget = 0;
 
 static const std::vector<LoadKind>& DemoLoad()
 {
@@ -31,9 +32,9 @@
     return plan;
 }
 
-static void TakeOut(Fleet* fleet)
+static void RemoveTarget(Fleet* fleet)
 {
-    const FleetTarget& target = *fleet->Targets[LeavingTarget];
+    const FleetTarget& target = *fleet->Targets[RemovedTarget];
     fmt::print("  4 s  edit: target {} of {} gets the weight 0\n", target.Part.Address, target.Row);
     fleet->Rows[target.Row].Targets[0].Weight = 0;
     FleetPublish(fleet, target.Row);
@@ -62,8 +63,8 @@
     }
 }
 
-// How often a request that may not be repeated was run more than once.
-static int CountRepeatedWrites(const Fleet& fleet)
+// Returns the number of non-retryable requests that ran more than once.
+static int CountRerunWrites(const Fleet& fleet)
 {
     std::map<std::string, int> runs;
     for (const auto& target : fleet.Targets)
@@ -73,21 +74,21 @@
             runs[saw.Id] += saw.Method == "POST" && saw.Run ? 1 : 0;
         }
     }
-    int repeated = 0;
+    int reruns = 0;
     for (const auto& run : runs)
     {
-        repeated += run.second > 1 ? 1 : 0;
+        reruns += run.second > 1 ? 1 : 0;
     }
-    return repeated;
+    return reruns;
 }
 
-// `saw_before`: requests that the target which left had seen two seconds later.
+// `saw_before`: number of requests that the removed target had received two seconds after the edit.
 static void PrintFleet(Fleet* fleet, size_t saw_before)
 {
-    const size_t later = fleet->Targets[LeavingTarget]->Part.Saw.size() - saw_before;
-    fmt::print("\nrequests that may not be repeated and ran twice: {}\n", CountRepeatedWrites(*fleet));
-    fmt::print("requests to the target that left, from 2 s after the edit on: {}\n", later);
-    fmt::print("calls to the table's service: {}\n\ninstance                plan  questions  connections opened\n", fleet->Store.Calls);
+    const size_t later = fleet->Targets[RemovedTarget]->Part.Saw.size() - saw_before;
+    fmt::print("\nnon-retryable requests that ran more than once: {}\n", CountRerunWrites(*fleet));
+    fmt::print("requests to the removed target later than 2 s after the edit: {}\n", later);
+    fmt::print("calls to the table store: {}\n\ninstance                plan     probes  connections opened\n", fleet->Store.Calls);
     for (size_t n = 0; n < fleet->Instances.size(); n++)
     {
         const FleetInstance& instance = fleet->Instances[n];
@@ -110,7 +111,7 @@
         return *parsed.Exit;
     }
     Fleet fleet;
-    fmt::print("starting: the table's service, 38 targets, 3 instances in 3 data centres\n");
+    fmt::print("starting: the table store, 38 targets, 3 instances in 3 data centres\n");
     const TimeUs start = NowUs();
     if (!FleetStart(&fleet, DemoPlan()))
     {
@@ -119,15 +120,15 @@
     fmt::print("ready after {:.1f} s; a load of 360 calls/s runs for {} s\n", static_cast<double>(NowUs() - start) / UsPerSecond,
                DemoUs / UsPerSecond);
     size_t saw_before = 0;
-    const Timer edit = TimerStart(&fleet.Loop, 4 * UsPerSecond, [&]() { TakeOut(&fleet); });
-    const Timer count = TimerStart(&fleet.Loop, 6 * UsPerSecond, [&]() { saw_before = fleet.Targets[LeavingTarget]->Part.Saw.size(); });
+    const Timer edit = TimerStart(&fleet.Loop, 4 * UsPerSecond, [&]() { RemoveTarget(&fleet); });
+    const Timer count = TimerStart(&fleet.Loop, 6 * UsPerSecond, [&]() { saw_before = fleet.Targets[RemovedTarget]->Part.Saw.size(); });
     const Timer kill = TimerStart(&fleet.Loop, 8 * UsPerSecond,
                                   [&]()
                                   {
                                       fmt::print("  8 s  instance {} is killed\n", fleet.Instances[KilledInstance].Callers);
                                       FleetKillInstance(&fleet, KilledInstance);
                                   });
-    const std::vector<LoadRecord> records = FleetPlayLoad(&fleet, FleetEntries(fleet), DemoLoad(), DemoUs, 1);
+    const std::vector<LoadRecord> records = FleetRunLoad(&fleet, FleetEntries(fleet), DemoLoad(), DemoUs, 1);
     PrintCalls(records);
     PrintFleet(&fleet, saw_before);
     return 0;
