--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -18,7 +18,7 @@
 namespace Winchlink
 {
 
-static constexpr TimeUs ReadyMostUs = 20 * UsPerSecond;
+static constexpr TimeUs ReadyMaxUs = 20 * UsPerSecond;
 
 //-----------------------------------------------------------------------------
 // [SECTION] Table and targets
@@ -36,7 +36,7 @@
     row.PathPrefix = "/" + plan.Name + "/";
     row.Class = plan.Class;
     row.DeadlineMs = plan.DeadlineMs;
-    row.HealthPath = plan.Asks ? "/health" : "";
+    row.HealthPath = plan.UsesProbes ? "/health" : "";
     row.RepeatMethods = {"GET"};
     return row;
 }
@@ -118,7 +118,7 @@
 static bool AwaitReady(Fleet* fleet)
 {
     constexpr TimeUs look_again = 20 * UsPerMs;
-    const TimeUs until = NowUs() + ReadyMostUs;
+    const TimeUs until = NowUs() + ReadyMaxUs;
     for (const FleetInstance& instance : fleet->Instances)
     {
         while (Get(fleet, instance.Ready, "/ready").Status != 200)
@@ -221,14 +221,14 @@
     return static_cast<TimeUs>(std::exponential_distribution<double>(1.0 / static_cast<double>(mean))(*random));
 }
 
-static void ChangePace(Fleet* fleet, FleetTarget* target, double share, int factor, TimeUs burst, Random* random)
+static void ChangeSpeed(Fleet* fleet, FleetTarget* target, double share, int factor, TimeUs burst, Random* random)
 {
     constexpr int usual = 100;
     const bool slow = target->Part.PacePercent == usual;
     const auto between = static_cast<TimeUs>(static_cast<double>(burst) * (1 - share) / share);
     target->Part.PacePercent = slow ? usual * factor : usual;
     target->Noise = TimerStart(&fleet->Loop, DrawSpan(slow ? burst : between, random),
-                               [=]() { ChangePace(fleet, target, share, factor, burst, random); });
+                               [=]() { ChangeSpeed(fleet, target, share, factor, burst, random); });
 }
 
 void FleetAddNoise(Fleet* fleet, double share, int factor, TimeUs burst, Random* random)
@@ -236,7 +236,7 @@
     for (const auto& target : fleet->Targets)
     {
         FleetTarget* part = target.get();
-        part->Noise = TimerStart(&fleet->Loop, DrawSpan(burst, random), [=]() { ChangePace(fleet, part, share, factor, burst, random); });
+        part->Noise = TimerStart(&fleet->Loop, DrawSpan(burst, random), [=]() { ChangeSpeed(fleet, part, share, factor, burst, random); });
     }
 }
 
@@ -332,8 +332,8 @@
     run->Next = next < run->EndUs ? TimerStart(&run->Owner->Loop, next - now, [run]() { SendDue(run); }) : nullptr;
 }
 
-std::vector<LoadRecord> FleetPlayLoad(Fleet* fleet, const std::vector<std::string>& entries, const std::vector<LoadKind>& kinds,
-                                      TimeUs length, uint64_t seed)
+std::vector<LoadRecord> FleetRunLoad(Fleet* fleet, const std::vector<std::string>& entries, const std::vector<LoadKind>& kinds,
+                                     TimeUs length, uint64_t seed)
 {
     constexpr TimeUs last_answers = 12 * UsPerSecond;
     LoadRun run;
