--- a/bench/fleet.h
+++ b/bench/fleet.h
@@ -28,7 +28,7 @@
     int Slots = 3;
     TimeUs WorkUs = 8 * UsPerMs; // Service time at a target's normal speed.
     int DeadlineMs = 1000;
-    bool Asks = true; // The row has a health path, so its targets are probed.
+    bool UsesProbes = true; // The row has a health path, so its targets are probed.
 };
 
 struct FleetPlan
@@ -115,8 +115,8 @@
 };
 
 // Generates an open-loop load with Poisson arrivals drawn from `seed`. Requests go to the addresses in `entries` in round-robin order.
-std::vector<LoadRecord> FleetPlayLoad(Fleet* fleet, const std::vector<std::string>& entries, const std::vector<LoadKind>& kinds,
-                                      TimeUs length, uint64_t seed);
+std::vector<LoadRecord> FleetRunLoad(Fleet* fleet, const std::vector<std::string>& entries, const std::vector<LoadKind>& kinds,
+                                     TimeUs length, uint64_t seed);
 
 struct LoadSummary
 {
