--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -1,4 +1,4 @@
-// main.cpp: the bench tool: stand-ins, load and experiments. No part of the product.
+// main.cpp: command line of winchbench, the tool for benchmarks and soak tests. It is not part of the product.
 
 #include "bench.h"
 
@@ -18,12 +18,12 @@
 };
 
 static constexpr BenchCommand BenchCommands[] = {
-    {"demo", "a small fleet, live", RunDemo},
-    {"policies", "the product's choice of targets against ordinary ones", RunPolicies},
-    {"pool", "what decisions of the target pool cost by the number of targets", RunPool},
-    {"capacity", "slopes over rows, edits, followers and calls", RunCapacity},
-    {"soak", "randomised runs of gateway processes under faults, audited", RunSoak},
-    {"added", "latency added against calling the target directly", RunAdded},
+    {"demo", "runs a small fleet under load and prints what happened", RunDemo},
+    {"policies", "compares the choice of targets with common load-balancing policies", RunPolicies},
+    {"pool", "measures target-pool operations by the number of targets", RunPool},
+    {"capacity", "measures cost by rows, edits, followers and request rate", RunCapacity},
+    {"soak", "runs gateway processes under random faults and checks their logs", RunSoak},
+    {"added", "measures the latency that an instance adds", RunAdded},
 };
 
 static int Main(int argc, const char** argv)
