--- a/bench/numbers.cpp
+++ b/bench/numbers.cpp
@@ -1,4 +1,4 @@
-// numbers.cpp: quantiles and spreads.
+// numbers.cpp: quantiles, and the median and range of samples.
 
 #include "bench.h"
 
