--- a/bench/plot_overload.sh
+++ b/bench/plot_overload.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# Draws what became of callers' requests over a day, before and after a change, with gnuplot (Debian: gnuplot-nox).
+# Plots the outcomes of callers' requests over time, before and after a change, with gnuplot (Debian: gnuplot-nox).
 #
-# Usage: plot_overload.sh OUT.svg BEFORE AFTER   each a text that holds a table of rows "second asked in-time late refused failed ...", as the
-# users' bench prints one ("from second"); rows of two seconds.
+# Usage: plot_overload.sh OUT.svg BEFORE AFTER
+# BEFORE and AFTER are text files with a table that starts with the line "from second ..." and has one row for each two seconds:
+# second, requests, in time, late, refused, failed.
 set -eu
 Out=$1
 Folder=$(mktemp -d)
