--- a/bench/policies.cpp
+++ b/bench/policies.cpp
@@ -1,7 +1,7 @@
-// policies.cpp: winchbench policies: the product's choice of targets against ordinary ones, the same traces under the same noise, in one
-// run.
+// policies.cpp: winchbench policies: compares winchlink's choice of targets with common load-balancing policies.
 //
-// Every policy gets a fleet of its own with the same seeds; rounds alternate the policies. Printed as Markdown.
+// Each policy runs on a new fleet with the same seeds, hence the same load and noise; each round runs all policies in turn. The results are
+// printed as a Markdown table.
 
 #include "bench.h"
 #include "fleet.h"
@@ -16,66 +16,66 @@
 struct Policy
 {
     const char* Name;
-    const char* Program; // Beside the bench tool.
-    bool Asks;           // Targets are asked for their load.
+    const char* Program; // Executable of the instances, in the folder of winchbench.
+    bool UsesProbes;     // Targets are probed for their load.
 };
 
-static constexpr std::array<Policy, 7> Policies = {{{"winchlink, asking", "winchlink", true},
-                                                    {"winchlink, not asking", "winchlink", false},
+static constexpr std::array<Policy, 7> Policies = {{{"winchlink, probing", "winchlink", true},
+                                                    {"winchlink, not probing", "winchlink", false},
                                                     {"roundrobin", "winchlink_baselines", false},
                                                     {"random", "winchlink_baselines", false},
                                                     {"least", "winchlink_baselines", false},
                                                     {"two", "winchlink_baselines", false},
                                                     {"reported", "winchlink_baselines", false}}};
 
-// What happens to the targets.
-struct Situation
+// Load and faults of one comparison.
+struct Scenario
 {
     const char* Name;
-    double Load;     // Share of all slots at the usual pace.
-    bool Noise;      // Neighbours make targets slow now and then.
-    bool SlowTarget; // One target is ten times slower from the start.
-    bool FailFast;   // One target fails at once.
+    double Load;     // Offered load as a fraction of the capacity at normal speed.
+    bool Noise;      // Targets are slowed down at random times.
+    bool SlowTarget; // One target is ten times slower.
+    bool FailFast;   // One target fails every request immediately.
 };
 
-static constexpr std::array<Situation, 4> Situations = {{{"steady 50 %", 0.5, true, false, false},
-                                                         {"a slow target", 0.4, true, true, false},
-                                                         {"a target that fails", 0.4, true, false, true},
-                                                         {"140 %", 1.4, true, false, false}}};
+static constexpr std::array<Scenario, 4> Scenarios = {{{"steady 50 %", 0.5, true, false, false},
+                                                       {"a slow target", 0.4, true, true, false},
+                                                       {"a target that fails", 0.4, true, false, true},
+                                                       {"140 %", 1.4, true, false, false}}};
 
 static constexpr int TargetCount = 10;
 static constexpr int SlotCount = 3;
 static constexpr TimeUs WorkUs = 30 * UsPerMs;
-static constexpr double NoiseShare = 0.25;          // As the users' targets are (their site files).
-static constexpr int NoiseFactor = 4;               //
-static constexpr TimeUs NoiseBurst = 150 * UsPerMs; //
-static constexpr size_t FailuresScripted = 1000000; // More than a run sends.
+static constexpr double NoiseShare = 0.25;          // Fraction of the time in which a target is slow.
+static constexpr int NoiseFactor = 4;               // Slowdown of service times.
+static constexpr TimeUs NoiseBurst = 150 * UsPerMs; // Mean length of a slow period.
+static constexpr size_t FailuresScripted = 1000000; // More than one run sends.
 
 struct PolicySamples
 {
     std::vector<double> P50, P99, P99All, InTime, Refused, Failed;
 };
 
-static void SetUp(Fleet* fleet, const Situation& situation, Random* random)
+static void ApplyScenario(Fleet* fleet, const Scenario& scenario, Random* random)
 {
-    if (situation.Noise)
+    if (scenario.Noise)
     {
         FleetAddNoise(fleet, NoiseShare, NoiseFactor, NoiseBurst, random);
     }
     FleetTarget& first = *fleet->Targets[0];
-    if (situation.SlowTarget)
+    if (scenario.SlowTarget)
     {
         constexpr int slower = 10;
         first.Part.WorkUs = slower * WorkUs;
     }
-    if (situation.FailFast)
+    if (scenario.FailFast)
     {
         first.Part.WorkUs = 0;
         first.Part.Script.assign(FailuresScripted, TargetAct_Failed);
     }
 }
 
-static bool PlayOnce(const Policy& policy, const Situation& situation, int round, int seconds, PolicySamples* out)
+static bool RunRound(const Policy& policy, const Scenario& scenario, int round, int seconds, PolicySamples* out)
 {
     Fleet fleet;
     FleetPlan plan;
@@ -84,7 +84,7 @@
     row.Targets = TargetCount;
     row.Slots = SlotCount;
     row.WorkUs = WorkUs;
-    row.Asks = policy.Asks;
+    row.UsesProbes = policy.UsesProbes;
     plan.Program = policy.Program;
     plan.Environment = {{"WINCHBENCH_POLICY", policy.Name}};
     plan.Instances = 4;
@@ -94,11 +94,11 @@
         return false;
     }
     Random random(static_cast<uint64_t>(round) + 1);
-    SetUp(&fleet, situation, &random);
+    ApplyScenario(&fleet, scenario, &random);
     const double slots_per_second = TargetCount * SlotCount * static_cast<double>(UsPerSecond) / static_cast<double>(WorkUs);
-    const std::vector<LoadKind> kinds = {{"row", "GET", situation.Load * slots_per_second * 0.7, 500},
-                                         {"row", "POST", situation.Load * slots_per_second * 0.3, 500}};
-    const auto records = FleetPlayLoad(&fleet, FleetEntries(fleet), kinds, seconds * UsPerSecond, static_cast<uint64_t>(round) + 1);
+    const std::vector<LoadKind> kinds = {{"row", "GET", scenario.Load * slots_per_second * 0.7, 500},
+                                         {"row", "POST", scenario.Load * slots_per_second * 0.3, 500}};
+    const auto records = FleetRunLoad(&fleet, FleetEntries(fleet), kinds, seconds * UsPerSecond, static_cast<uint64_t>(round) + 1);
     const LoadSummary s = Summarize(records, kinds, -1);
     const auto count = static_cast<double>(s.Count);
     out->P50.push_back(s.P50Ms);
@@ -113,17 +113,17 @@
 static std::string Cell(const std::vector<double>& values)
 {
     const Spread s = SpreadOf(values);
-    return fmt::format("{:.1f} ({:.1f} to {:.1f})", s.Median, s.Least, s.Most);
+    return fmt::format("{:.1f} ({:.1f} to {:.1f})", s.Median, s.Min, s.Max);
 }
 
-static bool PlaySituation(const Situation& situation, int rounds, int seconds)
+static bool RunScenario(const Scenario& scenario, int rounds, int seconds)
 {
     std::array<PolicySamples, Policies.size()> samples;
     for (int round = 0; round < rounds; round++)
     {
         for (size_t n = 0; n < Policies.size(); n++)
         {
-            if (!PlayOnce(Policies[n], situation, round, seconds, &samples[n]))
+            if (!RunRound(Policies[n], scenario, round, seconds, &samples[n]))
             {
                 return false;
             }
@@ -132,8 +132,8 @@
     for (size_t n = 0; n < Policies.size(); n++)
     {
         const PolicySamples& s = samples[n];
-        fmt::print("| {} | {} | {} | {} | {} | {} | {} | {} |\n", situation.Name, Policies[n].Name, Cell(s.P50), Cell(s.P99),
-                   Cell(s.P99All), Cell(s.InTime), Cell(s.Refused), Cell(s.Failed));
+        fmt::print("| {} | {} | {} | {} | {} | {} | {} | {} |\n", scenario.Name, Policies[n].Name, Cell(s.P50), Cell(s.P99), Cell(s.P99All),
+                   Cell(s.InTime), Cell(s.Refused), Cell(s.Failed));
     }
     fflush(stdout);
     return true;
@@ -151,11 +151,11 @@
     {
         return *parsed.Exit;
     }
-    fmt::print("| situation | policy | p50 ms | p99 ms | p99 of all ms | in time % | refused % | failed % |\n"
+    fmt::print("| scenario | policy | p50 ms | p99 ms | p99 of all ms | in time % | refused % | failed % |\n"
                "|---|---|---|---|---|---|---|---|\n");
-    for (const Situation& situation : Situations)
+    for (const Scenario& scenario : Scenarios)
     {
-        if (!PlaySituation(situation, rounds, seconds))
+        if (!RunScenario(scenario, rounds, seconds))
         {
             return 1;
         }
