--- a/bench/pool_sizes.cpp
+++ b/bench/pool_sizes.cpp
@@ -1,7 +1,7 @@
-// pool_sizes.cpp: winchbench pool: what decisions of the target pool cost by the number of a service's targets, and what it costs to know a
-// request again by the size of its body, on one processor.
+// pool_sizes.cpp: winchbench pool: measures the time of target-pool operations by the number of targets, and of computing a request's key
+// by the size of its body.
 //
-// One instance's view: some requests in progress, a change of one entry, a question. Printed as Markdown.
+// The results are printed as Markdown tables.
 
 #include "bench.h"
 #include "options.h"
@@ -17,10 +17,10 @@
 {
 
 static constexpr std::array<int, 6> Sizes = {10, 60, 190, 1300, 2000, 6600};
-static constexpr int InProgress = 8;  // Requests of the instance.
-static constexpr int QuestionsOf = 8; // Asked by one request.
+static constexpr int InProgress = 8;       // Requests in flight.
+static constexpr int ProbesPerRequest = 8; // Targets probed for one request.
 
-static double SecondsOf(const std::function<void()>& run, int times)
+static double MeasureSeconds(const std::function<void()>& run, int times)
 {
     const auto start = std::chrono::steady_clock::now();
     for (int n = 0; n < times; n++)
@@ -46,10 +46,10 @@
     return directory;
 }
 
-static void AskSome(TargetPool* pool, TimeUs now)
+static void ProbeSome(TargetPool* pool, TimeUs now)
 {
     std::vector<std::string> asked;
-    for (int n = 0; n < QuestionsOf; n++)
+    for (int n = 0; n < ProbesPerRequest; n++)
     {
         PoolTarget* next = PoolNext(pool, asked, false, now);
         asked.push_back(next->Id);
@@ -57,11 +57,11 @@
     }
 }
 
-static void Report(int size)
+static void MeasurePool(int size)
 {
     constexpr int follows = 50;
     constexpr int requests = 2000;
-    constexpr TimeUs pause = 50 * UsPerMs; // Between requests.
+    constexpr TimeUs pause = 50 * UsPerMs; // Simulated time between requests.
     Random random(1);
     TargetDirectory directory = MakeDirectory(size);
     TargetPool pool;
@@ -85,18 +85,18 @@
     const auto ask = [&]()
     {
         now += pause;
-        AskSome(&pool, now);
+        ProbeSome(&pool, now);
     };
     const auto find = [&]()
     {
         PoolFind(&pool, busy.front());
     };
-    fmt::print("| {} | {:.3f} | {:.2f} | {:.3f} |\n", size, SecondsOf(follow, follows) * 1e3, SecondsOf(ask, requests) / QuestionsOf * 1e6,
-               SecondsOf(find, requests) * 1e6);
+    fmt::print("| {} | {:.3f} | {:.2f} | {:.3f} |\n", size, MeasureSeconds(follow, follows) * 1e3,
+               MeasureSeconds(ask, requests) / ProbesPerRequest * 1e6, MeasureSeconds(find, requests) * 1e6);
 }
 
-// What a request costs while any request is suspected of ending targets.
-static void ReportKey(size_t body)
+// Measures the time to compute the key by which requests that crash targets are recognised.
+static void MeasureRequestKey(size_t body)
 {
     constexpr int requests = 200;
     Exchange exchange;
@@ -108,7 +108,7 @@
     {
         RequestKey(exchange);
     };
-    fmt::print("| {} | {:.2f} |\n", body, SecondsOf(make, requests) * 1e6);
+    fmt::print("| {} | {:.2f} |\n", body, MeasureSeconds(make, requests) * 1e6);
 }
 
 int RunPool(int argc, const char** argv)
@@ -119,15 +119,15 @@
     {
         return *parsed.Exit;
     }
-    fmt::print("| targets | a change of one entry, ms | the next to ask, us | a target by its id, us |\n|---|---|---|---|\n");
+    fmt::print("| targets | apply a change, ms | choose a target to probe, us | find a target by id, us |\n|---|---|---|---|\n");
     for (const int size : Sizes)
     {
-        Report(size);
+        MeasurePool(size);
     }
-    fmt::print("\n| body, bytes | a request's key, us |\n|---|---|\n");
+    fmt::print("\n| body, bytes | compute the request key, us |\n|---|---|\n");
     for (const size_t body : {size_t{0}, KiB, 64 * KiB, MiB, 4 * MiB})
     {
-        ReportKey(body);
+        MeasureRequestKey(body);
     }
     return 0;
 }
