--- a/bench/proxy.cpp
+++ b/bench/proxy.cpp
@@ -11,7 +11,7 @@
 {
 
 static constexpr size_t ReadAtOnce = 64 * KiB;
-static constexpr size_t HeldMost = MiB; // Limit of buffered bytes per direction; beyond it TCP flow control stops the sender.
+static constexpr size_t BufferedMax = MiB; // Limit of buffered bytes per direction; beyond it TCP flow control stops the sender.
 
 // One direction of a proxied connection.
 struct ProxyFlow
@@ -19,9 +19,9 @@
     int From = -1;
     int To = -1;
     Watch Readable;
-    std::string Held; // Read but not forwarded yet.
-    bool Ended = false;
-    Timer Later;
+    std::string Buffered; // Read but not forwarded yet.
+    bool Closed = false;
+    Timer ForwardTimer;
 };
 
 struct ProxyPair
@@ -58,28 +58,28 @@
     return found != proxy->Pairs.end() ? found->second.get() : nullptr;
 }
 
-static bool Passes(const Proxy& proxy, const ProxyPair& pair, const ProxyFlow& flow)
+static bool MayForward(const Proxy& proxy, const ProxyPair& pair, const ProxyFlow& flow)
 {
     const bool down = &flow == &pair.Down;
     return proxy.Mode == ProxyMode_Good || proxy.Mode == ProxyMode_Delay || (proxy.Mode == ProxyMode_OneWay && !down);
 }
 
 // Forwards the buffered bytes. Returns false once the sender has closed and all bytes are forwarded.
-static bool Pass(Proxy* proxy, ProxyPair* pair, ProxyFlow* flow)
+static bool Forward(Proxy* proxy, ProxyPair* pair, ProxyFlow* flow)
 {
-    if (!Passes(*proxy, *pair, *flow))
+    if (!MayForward(*proxy, *pair, *flow))
     {
         return true;
     }
-    if (!flow->Held.empty())
+    if (!flow->Buffered.empty())
     {
-        const ssize_t sent = send(flow->To, flow->Held.data(), flow->Held.size(), MSG_NOSIGNAL);
-        flow->Held.erase(0, sent > 0 ? static_cast<size_t>(sent) : 0);
+        const ssize_t sent = send(flow->To, flow->Buffered.data(), flow->Buffered.size(), MSG_NOSIGNAL);
+        flow->Buffered.erase(0, sent > 0 ? static_cast<size_t>(sent) : 0);
     }
-    return !(flow->Ended && flow->Held.empty());
+    return !(flow->Closed && flow->Buffered.empty());
 }
 
-static void PassLater(Proxy* proxy, uint64_t id, bool up)
+static void ForwardPending(Proxy* proxy, uint64_t id, bool up)
 {
     ProxyPair* pair = FindPair(proxy, id);
     if (pair == nullptr)
@@ -87,15 +87,15 @@
         return;
     }
     ProxyFlow* flow = up ? &pair->Up : &pair->Down;
-    if (!Pass(proxy, pair, flow))
+    if (!Forward(proxy, pair, flow))
     {
         proxy->Pairs.erase(id);
         return;
     }
     constexpr TimeUs again = 5 * UsPerMs; // For when the receiver did not accept all bytes, or the mode forbids forwarding.
-    if (!flow->Held.empty() || flow->Ended)
+    if (!flow->Buffered.empty() || flow->Closed)
     {
-        flow->Later = TimerStart(proxy->Loop, again, [proxy, id, up]() { PassLater(proxy, id, up); });
+        flow->ForwardTimer = TimerStart(proxy->Loop, again, [proxy, id, up]() { ForwardPending(proxy, id, up); });
     }
 }
 
@@ -103,7 +103,7 @@
 {
     ProxyPair* pair = FindPair(proxy, id);
     ProxyFlow* flow = up ? &pair->Up : &pair->Down;
-    if (flow->Held.size() > HeldMost)
+    if (flow->Buffered.size() > BufferedMax)
     {
         return;
     }
@@ -113,14 +113,14 @@
     {
         return;
     }
-    flow->Held.append(buffer, 0, got > 0 ? static_cast<size_t>(got) : 0);
-    flow->Ended = got <= 0;
-    if (flow->Ended)
+    flow->Buffered.append(buffer, 0, got > 0 ? static_cast<size_t>(got) : 0);
+    flow->Closed = got <= 0;
+    if (flow->Closed)
     {
         flow->Readable = nullptr;
     }
     const TimeUs pause = proxy->Mode == ProxyMode_Delay ? proxy->DelayUs : 0;
-    flow->Later = TimerStart(proxy->Loop, pause, [proxy, id, up]() { PassLater(proxy, id, up); });
+    flow->ForwardTimer = TimerStart(proxy->Loop, pause, [proxy, id, up]() { ForwardPending(proxy, id, up); });
 }
 
 static void ResetBoth(Proxy* proxy, uint64_t id)
@@ -193,8 +193,8 @@
             ResetBoth(proxy, id);
             continue;
         }
-        PassLater(proxy, id, true);
-        PassLater(proxy, id, false);
+        ForwardPending(proxy, id, true);
+        ForwardPending(proxy, id, false);
     }
 }
 
