--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -1,18 +1,19 @@
 #!/usr/bin/env bash
-# What each mechanism is worth: builds a copy of this tree with one mechanism switched off, and plays days with it.
+# Ablation study: for each mechanism, makes a copy of this tree with the mechanism disabled and runs a benchmark in it.
 #
-# Usage: ablation.sh FOLDER PLAY...   PLAY is run in each copy, with the mechanism's name as its last argument; it plays and notes the days.
-# FOLDER gets a copy for each mechanism; remove it afterwards. ONLY="name name" limits the list.
+# Usage: ablation.sh FOLDER PLAY...
+# PLAY is the command to run in each copy; it gets the mechanism's name as its last argument, and must build the copy itself.
+# FOLDER receives one copy for each mechanism and is not removed. ONLY="name name" limits the run to these mechanisms, with "-" for blanks.
 #
-# A mechanism is switched off by an edit of a constant or a condition, so the shipped settings get no switches that operators don't need.
-# An edit that changes nothing is an error: the list must follow the code.
+# Mechanisms are disabled by editing a constant or a condition with sed, so that the program needs no settings for it. An edit that changes
+# nothing is an error: its expression no longer matches the source.
 set -eu
 cd "$(dirname "$0")/.."
 
 Folder=$1
 shift
 
-# name ~ file ~ sed expression that switches it off
+# name ~ file ~ sed expression that disables it
 Mechanisms=(
     "nothing~winchlink.h~"
     "asking before sending~gateway/choose.cpp~s/if (!call->Service->Pool.TellsLoad || call->Spec->HealthPath.empty())/if (true)/"
