--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Measures the slopes of docs/CAPACITY.md; the report goes to out/capacity.md and the terminal. Some six minutes.
+# Measures the figures of docs/CAPACITY.md; writes the report to out/capacity.md and to stdout.
 set -eu
 cd "$(dirname "$0")/.."
 mkdir -p out
