--- a/scripts/fuzz.sh
+++ b/scripts/fuzz.sh
@@ -1,5 +1,8 @@
 #!/usr/bin/env bash
-# Runs the libFuzzer targets: fuzz.sh SECONDS, or fuzz.sh --runs N TARGET for a run that is the same every time.
+# Runs the libFuzzer targets.
+#
+# Usage: fuzz.sh [SECONDS]            runs each target for that time (default 60)
+#        fuzz.sh --runs N TARGET      runs one target for N inputs; reproducible
 set -eu
 cd "$(dirname "$0")/.."
 
