--- a/scripts/install-deps.sh
+++ b/scripts/install-deps.sh
@@ -1,29 +1,29 @@
 #!/usr/bin/env bash
-# Installs what the build and the tests need on Debian 12, package by package, each with its reason.
-# Does nothing when all of it is there. Must run as root, or where sudo works without a password.
+# Installs the packages that the build and the tests need on Debian 12; does nothing if all are installed.
+# Must run as root or with passwordless sudo.
 set -eu
 
 Packages=(
     g++                     # compiler of the release build
-    make                    # the commands of the README
+    make                    # runs the commands of the README
     cmake                   # build description
-    git                     # clang-format and clang-tidy are run on the tracked files
+    git                     # lists the tracked files for clang-format and clang-tidy
     clang                   # compiler of the fuzzing and sanitizer builds
     libclang-rt-14-dev      # libFuzzer and the sanitizers' runtimes
     clang-format            # format check
     clang-tidy              # lint check
-    libboost-dev            # Outcome (errors), Accumulators and Histogram (metrics), Beast (HTTP of callers; docs/DESIGN.md says why)
-    libcereal-dev           # codec of the messages between instances
+    libboost-dev            # Outcome (errors), Accumulators and Histogram (metrics), Beast (HTTP of callers)
+    libcereal-dev           # serialisation of the messages between instances
     libcurl4-gnutls-dev     # HTTP to targets, to the store and between instances
     libuv1-dev              # event loop
-    zlib1g-dev              # compression of what instances hand on
-    libjansson-dev          # JSON; it can refuse duplicate keys
+    zlib1g-dev              # compression of data between instances
+    libjansson-dev          # JSON
     libfmt-dev              # log lines
     libpopt-dev             # command line
-    libsodium-dev           # base64 of the users' store
+    libsodium-dev           # base64 in the platform's store
     libcppunit-dev          # unit tests
     librapidcheck-dev       # property tests
-    libtomlplusplus-dev     # the test that reads deploy/days
+    libtomlplusplus-dev     # the test that parses deploy/days
 )
 
 Missing=()
