--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Checks format and lint of all sources; any finding fails.
+# Runs clang-format and clang-tidy on all sources; fails on any finding.
 set -eu
 cd "$(dirname "$0")/.."
 
