--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Builds and runs every test: all of them in the ordinary build, then those that a sanitizer can say something about under
-# ASan+UBSan. (An instance has one thread: TSan has nothing to say of it.) The last line is "N passed, N failed".
+# Builds and runs all tests: the unit tests in the regular build and under ASan+UBSan, the fuzz targets, and a short soak test. TSan is not
+# used, because an instance has one thread. The last line is "N passed, N failed".
 set -u
 cd "$(dirname "$0")/.."
 
@@ -28,7 +28,7 @@
     F=$(echo "$Last" | sed -n 's/^\([0-9]*\) passed, \([0-9]*\) failed$/\2/p')
     if [ "${P:-0}" -eq 0 ] || { [ "$Code" -ne 0 ] && [ "$F" -eq 0 ]; }
     then
-        # It died, ran no test, or a sanitizer spoke at its end.
+        # It crashed, ran no test, or a sanitizer reported an error at exit.
         echo "$Folder: exit code $Code"
         tail -60 "$Folder/tests.err"
         Failed=$((Failed + 1))
@@ -53,7 +53,7 @@
 export ASAN_OPTIONS="detect_leaks=1"
 export UBSAN_OPTIONS="halt_on_error=1 print_stacktrace=1"
 
-# Tests that are known to fail: left out here, run one by one below.
+# Tests that are known to fail are excluded here and run one by one below.
 KnownRed=()
 if [ -f KNOWN-RED.txt ]
 then
@@ -63,7 +63,7 @@
 Variant build "" RelWithDebInfo "${KnownRed[@]}"
 Variant build-asan "address,undefined" RelWithDebInfo --skip Winchlink::Process "${KnownRed[@]}"
 
-# The fuzz targets, for a fixed number of inputs from a fixed seed.
+# Fuzz targets, with a fixed seed and number of inputs.
 for Target in fuzz_documents fuzz_page fuzz_platform fuzz_request fuzz_signals
 do
     if scripts/fuzz.sh --runs 20000 "$Target"
@@ -74,15 +74,15 @@
     fi
 done
 
-# Faults that are known and not mended: each line of KNOWN-RED.txt has a command before its first '|'. They are run and printed, and passed
-# over as long as they fail; one that passes must be taken off the list.
+# Tests that are known to fail: each line of KNOWN-RED.txt has a command before its first '|'. A failure of it is printed but not counted; if
+# it passes, that counts as a failure, so that the line is removed.
 if [ -f KNOWN-RED.txt ]
 then
     while IFS='|' read -r Command Account
     do
         if [[ "$Account" == *"seen once"* ]]
         then
-            echo "known red: $Command:$Account" # It runs with the others, and counts if it fails there.
+            echo "known red: $Command:$Account" # Seen to fail once: it runs with the other tests, and a failure there counts.
         elif $Command >/dev/null 2>&1
         then
             echo "known red, but it passes now: $Command"
@@ -93,7 +93,7 @@
     done <KNOWN-RED.txt
 fi
 
-# A short soak of real gateway processes, from a fixed seed.
+# Short soak test of gateway processes, with a fixed seed.
 if build/winchbench soak --seed 1 --seconds 8 --instances 3
 then
     Passed=$((Passed + 1))
