--- a/tests/check.h
+++ b/tests/check.h
@@ -1,4 +1,4 @@
-// check.h: what the tests share.
+// check.h: helpers for unit tests and property tests.
 
 #pragma once
 
@@ -11,17 +11,17 @@
 #include <rapidcheck.h>
 #include <rapidcheck/detail/Configuration.h>
 
-// A property must hold for all generated cases; for a costly one, name the percentage of the usual number of cases.
+// Asserts that a property holds for all generated cases. CHECK_COSTLY_PROPERTY runs only a percentage of the usual number of cases.
 #define CHECK_PROPERTY(text, ...) CPPUNIT_ASSERT_MESSAGE(text, Winchlink::HoldsFor(100, true, text, __VA_ARGS__))
 #define CHECK_COSTLY_PROPERTY(percent, text, ...) CPPUNIT_ASSERT_MESSAGE(text, Winchlink::HoldsFor(percent, true, text, __VA_ARGS__))
 
-// A planted fault must be found: a proof that can't fail is none.
+// Asserts that a property fails for code with a deliberate fault, to show that the property can detect it.
 #define CHECK_FINDS_FAULT(text, ...) CPPUNIT_ASSERT_MESSAGE(text, !Winchlink::HoldsFor(400, false, text, __VA_ARGS__))
 
 namespace Winchlink
 {
 
-// Like rc::check(), with a share of the number of cases that RC_PARAMS names. A planted fault need not be shrunk.
+// Like rc::check(), but runs `percent` of the number of cases in RC_PARAMS, and shrinks failing cases only if `shrink` is set.
 template <class Testable> bool HoldsFor(int percent, bool shrink, const std::string& text, Testable testable)
 {
     rc::detail::TestMetadata metadata;
@@ -36,8 +36,8 @@
     return result.template is<rc::detail::SuccessResult>();
 }
 
-// Random numbers of one generated case. rapidcheck draws the seed only: cases of thousands of steps would otherwise be dominated by
-// drawing, and by shrinking what is drawn.
+// Random numbers of one generated case. rapidcheck generates only the seed: generating and shrinking each value would be too slow for cases
+// with thousands of steps.
 struct Dice
 {
     Random Rng;
@@ -50,25 +50,26 @@
     {
     }
 
-    // From `least` up to but not including `end`.
+    // Returns a uniformly distributed number in [least, end).
     int64_t Between(int64_t least, int64_t end)
     {
         return std::uniform_int_distribution<int64_t>(least, end - 1)(Rng);
     }
 
+    // Returns true with probability 1/n.
     bool OneIn(int64_t n)
     {
         return Between(0, n) == 0;
     }
 };
 
-// Whether a fault of that code was reported at that key path.
+// Returns whether a fault with the given code was reported at the key path `where`.
 inline bool HasFault(const std::vector<Fault>& faults, Code_ code, const std::string& where)
 {
     return std::any_of(faults.begin(), faults.end(), [&](const Fault& f) { return f.Code == code && f.Where == where; });
 }
 
-// A small valid row.
+// Returns a small valid row.
 inline ServiceRow MakeRow(const std::string& name, int targets = 2)
 {
     constexpr int first_port = 9000;
