--- a/tests/docs_test.cpp
+++ b/tests/docs_test.cpp
@@ -1,4 +1,4 @@
-// docs_test.cpp: documents and examples agree with the code; settings are checked.
+// docs_test.cpp: checks that documents, examples and deploy/days agree with the code, and that invalid settings are rejected.
 
 #include "check.h"
 #include "settings.h"
@@ -24,17 +24,17 @@
 class DocsTest : public CPPUNIT_NS::TestFixture
 {
     CPPUNIT_TEST_SUITE(DocsTest);
-    CPPUNIT_TEST(CodesPageAgrees);
+    CPPUNIT_TEST(CodesPageMatchesTheCode);
     CPPUNIT_TEST(CodesAreInOrder);
-    CPPUNIT_TEST(ExamplesAreGood);
+    CPPUNIT_TEST(ExamplesAreValid);
     CPPUNIT_TEST(EverySettingIsDocumented);
     CPPUNIT_TEST(EveryKeyOfTheTableIsDocumented);
-    CPPUNIT_TEST(SettingsAreChecked);
-    CPPUNIT_TEST(DaysCanBeRead);
+    CPPUNIT_TEST(InvalidSettingsAreRejected);
+    CPPUNIT_TEST(DayFilesAreValid);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void CodesPageAgrees()
+    void CodesPageMatchesTheCode()
     {
         const std::string page = ReadSource("docs/CODES.md");
         size_t rows = 0;
@@ -48,7 +48,7 @@
         {
             rows++;
         }
-        CPPUNIT_ASSERT_EQUAL(AllCodes().size() + 1, rows); // And the heading: no code on the page that the program has not got.
+        CPPUNIT_ASSERT_EQUAL(AllCodes().size() + 1, rows); // One more for the heading: the page has no other codes.
     }
 
     void CodesAreInOrder()
@@ -59,7 +59,7 @@
         }
     }
 
-    void ExamplesAreGood()
+    void ExamplesAreValid()
     {
         CPPUNIT_ASSERT(ParseSettings(ReadSource("examples/settings.json")).Faults.empty());
         CPPUNIT_ASSERT(ParseTable(ReadSource("examples/table.json")).Faults.empty());
@@ -68,7 +68,7 @@
         CPPUNIT_ASSERT_EQUAL(size_t{1}, evacuated.Value.Evacuated.size());
     }
 
-    // Every key that stands behind `mark` in the source is on the operators' page. Returns how many there are.
+    // Checks that docs/OPERATORS.md mentions every key that follows `mark` in the source file. Returns the number of keys.
     static int CheckKeys(const std::string& file, const std::string& mark)
     {
         const std::string source = ReadSource(file);
@@ -94,7 +94,7 @@
         CPPUNIT_ASSERT(CheckKeys("winchlink_document.cpp", "(&r, \"") > 15);
     }
 
-    void SettingsAreChecked()
+    void InvalidSettingsAreRejected()
     {
         CPPUNIT_ASSERT(ParseSettings(std::string(GoodSettings) + "}").Faults.empty());
         const CheckedSettings bad =
@@ -127,8 +127,8 @@
         }
     }
 
-    // Days of our own for the users' bench: TOML, with a head line, planned work and faults in order of time.
-    void DaysCanBeRead()
+    // The files in deploy/days are TOML with a first comment line, and list planned work and faults in order of time.
+    void DayFilesAreValid()
     {
         size_t files = 0;
         for (const auto& entry : std::filesystem::directory_iterator(std::string(WINCHLINK_SOURCE) + "/deploy/days"))
