--- a/tests/listener_test.cpp
+++ b/tests/listener_test.cpp
@@ -1,4 +1,5 @@
-// listener_test.cpp: limits on what callers send, and what a planned stop does to callers that come in the moment it ends.
+// listener_test.cpp: limits on callers' requests, and requests that arrive during a planned stop. Guards against requests that are lost
+// when an instance stops.
 
 #include "gateway_rig.h"
 
@@ -7,7 +8,7 @@
 namespace Winchlink
 {
 
-// Callers that send one request after another, each on a new connection or all on kept ones, until nobody listens any more.
+// Callers that send one request after another, on new or kept connections, until the connection is refused.
 struct BusyCallers
 {
     Rig* Owner = nullptr;
@@ -15,7 +16,7 @@
     bool NewConnections = false;
     int Calling = 0;
     int Answered = 0;
-    int Lost = 0; // Sent, and neither answered nor refused.
+    int Lost = 0; // Connected, but not answered.
     Random Rng;
     std::vector<Timer> Pauses;
 };
@@ -54,11 +55,11 @@
     CPPUNIT_TEST_SUITE(ListenerTest);
     CPPUNIT_TEST(AStopLosesNoNewConnection);
     CPPUNIT_TEST(AStopLosesNoKeptConnection);
-    CPPUNIT_TEST(AStopAnswersWhatWaitsToBeAccepted);
-    CPPUNIT_TEST(AStopRefusesConnectionsOnceItIsQuiet);
+    CPPUNIT_TEST(AStopServesConnectionsInTheAcceptQueue);
+    CPPUNIT_TEST(AStoppingInstanceRefusesNewConnections);
     CPPUNIT_TEST(HeadersBeyondTheLimitAreRefused);
-    CPPUNIT_TEST(HeadersThatComeTooSlowlyEndTheConnection);
-    CPPUNIT_TEST(SlowBodiesAreTaken);
+    CPPUNIT_TEST(SlowHeadersEndTheConnection);
+    CPPUNIT_TEST(SlowBodiesAreAccepted);
     CPPUNIT_TEST_SUITE_END();
 
     static void StopUnderLoad(bool new_connections, uint64_t seed)
@@ -83,8 +84,8 @@
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return callers.Answered > 100; }));
         GatewayStop(&instance);
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Stopped; }));
-        CPPUNIT_ASSERT(instance.Callers.Open.empty()); // It was done, and not at the end of its time.
-        rig.Instances.clear();                         // The process ends.
+        CPPUNIT_ASSERT(instance.Callers.Open.empty()); // It stopped because no connection was left, not because of the timeout.
+        rig.Instances.clear();                         // Like the end of the process.
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return callers.Calling == 0; }));
         CPPUNIT_ASSERT_EQUAL(0, callers.Lost);
     }
@@ -99,8 +100,8 @@
         StopUnderLoad(false, 2);
     }
 
-    // Connections that are under way when the listening socket is shut are served.
-    void AStopAnswersWhatWaitsToBeAccepted()
+    // Connections that are in the accept queue when the instance stops accepting are served.
+    void AStopServesConnectionsInTheAcceptQueue()
     {
         Rig rig;
         RigTarget(&rig, "t1");
@@ -112,7 +113,7 @@
             callers.push_back(std::make_unique<RawCaller>(&rig.Loop, instance.Config.CallerAddress));
             RawSend(*callers.back(), fmt::format("GET /a/x HTTP/1.1\r\nHost: a.example\r\nWinchlink-Request-Id: {}\r\n\r\n", n));
         }
-        ListenerIgnoreNew(&instance.Callers); // Before the loop has accepted any of them.
+        ListenerIgnoreNew(&instance.Callers); // Before the event loop has accepted any of them.
         const auto answered = [&]()
         {
             return std::all_of(callers.begin(), callers.end(), [](const auto& caller) { return caller->Read.find("HTTP/1.1 200") == 0; });
@@ -121,16 +122,15 @@
         RigCall late;
         const RigAnswerPtr answer = RigSend(&rig, instance, late);
         RigIdle(&rig, 300 * UsPerMs);
-        CPPUNIT_ASSERT(!answer->Done); // Silence: the caller goes elsewhere, and nothing was sent.
+        CPPUNIT_ASSERT(!answer->Done); // Not accepted, so the caller can try another instance.
         CPPUNIT_ASSERT_EQUAL(0, RigRuns(rig, answer->Id));
     }
 
-    // A stopping instance that goes on accepting is kept busy to its end by callers that open one connection after another, and cuts them
-    // then.
-    void AStopRefusesConnectionsOnceItIsQuiet()
+    // If a stopping instance still accepted connections, new callers could keep it busy until the timeout, which would cut their requests.
+    void AStoppingInstanceRefusesNewConnections()
     {
         Rig rig;
-        RigTarget(&rig, "t1").WorkUs = 4500 * UsPerMs; // Keeps the instance up.
+        RigTarget(&rig, "t1").WorkUs = 4500 * UsPerMs; // Keeps the instance from stopping.
         UsersRoute route;
         route.TimeoutS = 10;
         RigConfigure(&rig, {route});
@@ -146,7 +146,7 @@
         const RigAnswerPtr refused = RigSend(&rig, instance, late);
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return refused->Done; }));
         CPPUNIT_ASSERT_EQUAL(ClientEnd_NotConnected, refused->Answer.End);
-        CPPUNIT_ASSERT_EQUAL(std::string("Couldn't connect to server"), refused->Answer.Detail); // At once, and not by a timeout.
+        CPPUNIT_ASSERT_EQUAL(std::string("Couldn't connect to server"), refused->Answer.Detail); // Refused immediately, not timed out.
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return answer->Done; }));
         CPPUNIT_ASSERT_EQUAL(200, answer->Answer.Status);
     }
@@ -155,7 +155,7 @@
     {
         Rig rig;
         RigTarget(&rig, "t1");
-        RigConfigure(&rig, {UsersRoute()}); // Its limit is 16 KiB.
+        RigConfigure(&rig, {UsersRoute()}); // The limit of headers is 16 KiB.
         const Gateway& instance = RigInstance(&rig, 1);
         RawCaller good(&rig.Loop, instance.Config.CallerAddress);
         RawSend(good,
@@ -169,7 +169,7 @@
         CPPUNIT_ASSERT_EQUAL(0, RigRuns(rig, "b"));
     }
 
-    // An instance with a target, whose callers have so long for their headers.
+    // Starts a target and an instance with the given header timeout.
     static const Gateway& StartWithHeaderTimeout(Rig* rig, TimeUs timeout)
     {
         RigTarget(rig, "t1");
@@ -181,8 +181,8 @@
         return instance;
     }
 
-    // One header after the other, each soon after the last: only a limit on the whole time ends it.
-    void HeadersThatComeTooSlowlyEndTheConnection()
+    // Headers that arrive one by one at short intervals: only a limit on the total time ends the connection.
+    void SlowHeadersEndTheConnection()
     {
         Rig rig;
         const Gateway& instance = StartWithHeaderTimeout(&rig, 300 * UsPerMs);
@@ -198,7 +198,7 @@
         CPPUNIT_ASSERT_EQUAL(0, RigRuns(rig, "slow"));
     }
 
-    void SlowBodiesAreTaken()
+    void SlowBodiesAreAccepted()
     {
         Rig rig;
         const Gateway& instance = StartWithHeaderTimeout(&rig, 100 * UsPerMs);
