--- a/tests/loop_test.cpp
+++ b/tests/loop_test.cpp
@@ -1,4 +1,5 @@
-// loop_test.cpp: timers across a suspension of the machine, with a clock of the test's own.
+// loop_test.cpp: timers across a suspension of the machine, with a simulated clock. Guards against timers that ignore the suspended time or
+// run more than once after it.
 
 #include "check.h"
 #include "clock.h"
@@ -10,29 +11,29 @@
 class LoopTest : public CPPUNIT_NS::TestFixture
 {
     CPPUNIT_TEST_SUITE(LoopTest);
-    CPPUNIT_TEST(TimeAsleepCounts);
-    CPPUNIT_TEST(WhatIsDueRunsOnce);
-    CPPUNIT_TEST(TimersThatWereEndedStayEnded);
+    CPPUNIT_TEST(SuspendedTimeCounts);
+    CPPUNIT_TEST(PeriodicTimersRunOnceAfterASuspension);
+    CPPUNIT_TEST(StoppedTimersDoNotRun);
     CPPUNIT_TEST_SUITE_END();
 
-    static constexpr TimeUs Hour = 3600 * UsPerSecond; // No test waits so long: what runs ran because of the suspension.
+    static constexpr TimeUs Hour = 3600 * UsPerSecond; // Longer than any test runs: such a timer only fires because of a suspension.
 
-    struct Sleeper
+    struct FakeSuspension
     {
         EventLoop Loop;
-        TimeUs Asleep = 0;
-        TimeUs Told = 0;
+        TimeUs SuspendedSumUs = 0;
+        TimeUs ReportedUs = 0;
 
-        Sleeper()
+        FakeSuspension()
         {
             Loop.AsleepBeforeUs = 0;
             Loop.AsleepUs = [this]()
             {
-                return Asleep;
+                return SuspendedSumUs;
             };
             Loop.OnSuspended = [this](TimeUs slept)
             {
-                Told += slept;
+                ReportedUs += slept;
             };
         }
 
@@ -42,58 +43,58 @@
         }
     };
 
-    void TimeAsleepCounts()
+    void SuspendedTimeCounts()
     {
-        Sleeper sleeper;
+        FakeSuspension machine;
         bool short_one = false;
         bool long_one = false;
-        const Timer first = TimerStart(&sleeper.Loop, Hour, [&]() { short_one = true; });
-        const Timer second = TimerStart(&sleeper.Loop, 3 * Hour, [&]() { long_one = true; });
-        sleeper.Asleep = Hour;
-        CPPUNIT_ASSERT(sleeper.RunUntil([&]() { return short_one; }));
+        const Timer first = TimerStart(&machine.Loop, Hour, [&]() { short_one = true; });
+        const Timer second = TimerStart(&machine.Loop, 3 * Hour, [&]() { long_one = true; });
+        machine.SuspendedSumUs = Hour;
+        CPPUNIT_ASSERT(machine.RunUntil([&]() { return short_one; }));
         CPPUNIT_ASSERT(!long_one);
-        CPPUNIT_ASSERT_EQUAL(Hour, sleeper.Told);
-        sleeper.Asleep += Hour;
+        CPPUNIT_ASSERT_EQUAL(Hour, machine.ReportedUs);
+        machine.SuspendedSumUs += Hour;
         bool soon = false;
-        const Timer third = TimerStart(&sleeper.Loop, 0, [&]() { soon = true; });
-        CPPUNIT_ASSERT(sleeper.RunUntil([&]() { return soon; }));
-        CPPUNIT_ASSERT(!long_one); // Two of its three hours are over.
-        sleeper.Asleep += Hour;
-        CPPUNIT_ASSERT(sleeper.RunUntil([&]() { return long_one; }));
+        const Timer third = TimerStart(&machine.Loop, 0, [&]() { soon = true; });
+        CPPUNIT_ASSERT(machine.RunUntil([&]() { return soon; }));
+        CPPUNIT_ASSERT(!long_one); // Two of three hours have passed.
+        machine.SuspendedSumUs += Hour;
+        CPPUNIT_ASSERT(machine.RunUntil([&]() { return long_one; }));
     }
 
-    // One that starts itself again each second does not make up for the hour.
-    void WhatIsDueRunsOnce()
+    // A timer that restarts itself runs once after a suspension, not once for each missed interval.
+    void PeriodicTimersRunOnceAfterASuspension()
     {
-        Sleeper sleeper;
+        FakeSuspension machine;
         int runs = 0;
         Timer again;
         const std::function<void()> tick = [&]()
         {
             runs++;
-            again = TimerStart(&sleeper.Loop, Hour, tick);
+            again = TimerStart(&machine.Loop, Hour, tick);
         };
-        again = TimerStart(&sleeper.Loop, UsPerSecond, tick);
-        sleeper.Asleep = Hour;
-        CPPUNIT_ASSERT(sleeper.RunUntil([&]() { return runs > 0; }));
+        again = TimerStart(&machine.Loop, UsPerSecond, tick);
+        machine.SuspendedSumUs = Hour;
+        CPPUNIT_ASSERT(machine.RunUntil([&]() { return runs > 0; }));
         bool soon = false;
-        const Timer later = TimerStart(&sleeper.Loop, 20 * UsPerMs, [&]() { soon = true; });
-        CPPUNIT_ASSERT(sleeper.RunUntil([&]() { return soon; }));
+        const Timer later = TimerStart(&machine.Loop, 20 * UsPerMs, [&]() { soon = true; });
+        CPPUNIT_ASSERT(machine.RunUntil([&]() { return soon; }));
         CPPUNIT_ASSERT_EQUAL(1, runs);
     }
 
-    void TimersThatWereEndedStayEnded()
+    void StoppedTimersDoNotRun()
     {
-        Sleeper sleeper;
+        FakeSuspension machine;
         bool ran = false;
-        Timer ended = TimerStart(&sleeper.Loop, Hour, [&]() { ran = true; });
+        Timer ended = TimerStart(&machine.Loop, Hour, [&]() { ran = true; });
         ended = nullptr;
-        sleeper.Asleep = 2 * Hour;
+        machine.SuspendedSumUs = 2 * Hour;
         bool soon = false;
-        const Timer later = TimerStart(&sleeper.Loop, UsPerMs, [&]() { soon = true; });
-        CPPUNIT_ASSERT(sleeper.RunUntil([&]() { return soon; }));
+        const Timer later = TimerStart(&machine.Loop, UsPerMs, [&]() { soon = true; });
+        CPPUNIT_ASSERT(machine.RunUntil([&]() { return soon; }));
         CPPUNIT_ASSERT(!ran);
-        CPPUNIT_ASSERT(sleeper.Loop.Timers.empty());
+        CPPUNIT_ASSERT(machine.Loop.Timers.empty());
     }
 };
 
