--- a/tests/main.cpp
+++ b/tests/main.cpp
@@ -1,8 +1,8 @@
 // main.cpp: runs the tests and prints "N passed, N failed" last.
 //
 // Usage: winchtests [--only SUITE]... [--skip SUITE]... [--list]
-// A suite is the part of a test's name before "Test::". RC_PARAMS sets seed and length of the property tests; without it they are
-// fixed, so that every run gives the same verdict.
+// A suite is the part of a test's name before "Test::". RC_PARAMS sets the seed and the number of cases of the property tests;
+// by default both are fixed, so that runs are reproducible.
 
 #include "winchlink.h"
 
@@ -79,8 +79,8 @@
     }
 }
 
-// Every line of a failure's text starts with two blanks, so that the scripts show it whole.
-std::string Indented(const std::string& text)
+// Indents each line by two blanks; scripts/test.sh prints all lines that start so.
+std::string Indent(const std::string& text)
 {
     std::string out = "  ";
     for (const char c : text)
@@ -91,7 +91,7 @@
     return out;
 }
 
-// Runs one test; true if it passed.
+// Runs one test and returns whether it passed.
 bool RunTest(CPPUNIT_NS::Test* test)
 {
     CPPUNIT_NS::TestResult result;
@@ -102,7 +102,7 @@
     {
         const CPPUNIT_NS::SourceLine line = failure->sourceLine();
         std::printf("FAIL %s\n  %s:%d\n%s\n", test->getName().c_str(), line.fileName().c_str(), line.lineNumber(),
-                    Indented(failure->thrownException()->what()).c_str());
+                    Indent(failure->thrownException()->what()).c_str());
     }
     return collector.wasSuccessful();
 }
