--- a/tests/pipeline_test.cpp
+++ b/tests/pipeline_test.cpp
@@ -1,5 +1,5 @@
-// pipeline_test.cpp: requests that a caller sends before the first is answered, by raw sockets: which run side by side, in which order they
-// are answered, what a hang-up and a closing answer do to those behind, and bytes that could be read in two ways.
+// pipeline_test.cpp: HTTP pipelining over raw sockets. Guards against answers in the wrong order, unsafe requests that run concurrently,
+// requests that run after the connection was closed, and request smuggling.
 
 #include "gateway_rig.h"
 
@@ -8,7 +8,7 @@
 namespace Winchlink
 {
 
-static constexpr TimeUs LongWorkUs = 150 * UsPerMs; // Long enough that requests of one moment are seen side by side.
+static constexpr TimeUs LongWorkUs = 150 * UsPerMs; // Long enough to observe concurrent requests.
 
 static std::string Get(const std::string& id, const std::string& path = "/a/x")
 {
@@ -36,7 +36,7 @@
     return CountOf(caller.Read, "HTTP/1.1 ");
 }
 
-// The requests whose answers came, in order.
+// Returns the ids of the answered requests, in the order of the answers.
 static std::vector<std::string> AnsweredIds(const RawCaller& caller)
 {
     const std::string name = "Winchlink-Request-Id: ";
@@ -54,113 +54,113 @@
 class PipelineTest : public CPPUNIT_NS::TestFixture
 {
     CPPUNIT_TEST_SUITE(PipelineTest);
-    CPPUNIT_TEST(RepeatableRequestsRunSideBySideAndAreAnsweredInOrder);
-    CPPUNIT_TEST(AnswersWaitForThoseBefore);
-    CPPUNIT_TEST(AnUnsafeRequestWaitsAndNothingOvertakesIt);
-    CPPUNIT_TEST(NoMoreThanTheBoundAreBegun);
-    CPPUNIT_TEST(ACallerThatLeavesEndsAllOfItsRequests);
-    CPPUNIT_TEST(WhatStandsBehindAClosingAnswerIsNotRun);
-    CPPUNIT_TEST(AStopAnswersAllThatWereBegun);
-    CPPUNIT_TEST(BytesMayBeSplitAnywhere);
-    CPPUNIT_TEST(ARequestWithABodyIsWorkedOnAlone);
-    CPPUNIT_TEST(AmbiguousBytesAreRefusedAndRunNothing);
-    CPPUNIT_TEST(TrailersAreNoHeaders);
-    CPPUNIT_TEST(TrailersWithoutEndAreRefused);
-    CPPUNIT_TEST(AMalformedRequestIsAnsweredBehindThoseBeforeIt);
-    CPPUNIT_TEST(ABodyIsSentAfterTheCallerIsToldToContinue);
+    CPPUNIT_TEST(RetryableRequestsRunConcurrentlyAndAreAnsweredInOrder);
+    CPPUNIT_TEST(AnswersWaitForEarlierAnswers);
+    CPPUNIT_TEST(AnUnsafeRequestRunsAloneAndInOrder);
+    CPPUNIT_TEST(ConcurrentRequestsAreLimited);
+    CPPUNIT_TEST(ADisconnectCancelsAllRequestsOfTheCaller);
+    CPPUNIT_TEST(RequestsAfterConnectionCloseAreNotRun);
+    CPPUNIT_TEST(AStopAnswersAllRequestsInFlight);
+    CPPUNIT_TEST(RequestsMayBeSplitAnywhere);
+    CPPUNIT_TEST(ARequestWithABodyRunsAlone);
+    CPPUNIT_TEST(AmbiguousRequestsAreRefused);
+    CPPUNIT_TEST(TrailersAreNotHeaders);
+    CPPUNIT_TEST(EndlessTrailersAreRefused);
+    CPPUNIT_TEST(AMalformedRequestIsAnsweredInOrder);
+    CPPUNIT_TEST(ExpectContinueIsAnswered);
     CPPUNIT_TEST_SUITE_END();
 
-    struct Setting
+    struct Setup
     {
         Rig Fleet;
         std::vector<UsersTarget*> Targets;
         Gateway* Instance = nullptr;
     };
 
-    // Targets for "/a/" (repeatable) and "/u/" (not), and an instance.
-    static void Prepare(Setting* setting, int targets, TimeUs work)
+    // Starts targets and an instance with the routes "/a/" (retryable) and "/u/" (not retryable).
+    static void Prepare(Setup* setup, int targets, TimeUs work)
     {
         for (int n = 0; n < targets; n++)
         {
-            UsersTarget& target = RigTarget(&setting->Fleet, fmt::format("t{}", n));
+            UsersTarget& target = RigTarget(&setup->Fleet, fmt::format("t{}", n));
             target.WorkUs = work;
             target.Slots = 16;
-            setting->Targets.push_back(&target);
+            setup->Targets.push_back(&target);
         }
         UsersRoute unsafe;
         unsafe.Name = "unsafe";
         unsafe.Prefix = "/u/";
         unsafe.Safe = false;
-        RigConfigure(&setting->Fleet, {UsersRoute(), unsafe});
-        setting->Instance = &RigInstance(&setting->Fleet, static_cast<size_t>(targets));
+        RigConfigure(&setup->Fleet, {UsersRoute(), unsafe});
+        setup->Instance = &RigInstance(&setup->Fleet, static_cast<size_t>(targets));
     }
 
-    static int Running(const Setting& setting)
+    static int Running(const Setup& setup)
     {
         int running = 0;
-        for (const UsersTarget* target : setting.Targets)
+        for (const UsersTarget* target : setup.Targets)
         {
             running += target->Running;
         }
         return running;
     }
 
-    static bool AwaitAnswers(Setting* setting, const RawCaller& caller, size_t answers)
+    static bool AwaitAnswers(Setup* setup, const RawCaller& caller, size_t answers)
     {
-        return RigRun(&setting->Fleet, [&]() { return Answers(caller) == answers; });
+        return RigRun(&setup->Fleet, [&]() { return Answers(caller) == answers; });
     }
 
-    void RepeatableRequestsRunSideBySideAndAreAnsweredInOrder()
+    void RetryableRequestsRunConcurrentlyAndAreAnsweredInOrder()
     {
-        Setting setting;
-        Prepare(&setting, 2, LongWorkUs);
-        const RawCaller caller(&setting.Fleet.Loop, setting.Instance->Config.CallerAddress);
+        Setup setup;
+        Prepare(&setup, 2, LongWorkUs);
+        const RawCaller caller(&setup.Fleet.Loop, setup.Instance->Config.CallerAddress);
         RawSend(caller, Get("p1") + Get("p2") + Get("p3") + Get("p4"));
-        CPPUNIT_ASSERT(RigRun(&setting.Fleet, [&]() { return Running(setting) == 4; }));
-        CPPUNIT_ASSERT(AwaitAnswers(&setting, caller, 4));
+        CPPUNIT_ASSERT(RigRun(&setup.Fleet, [&]() { return Running(setup) == 4; }));
+        CPPUNIT_ASSERT(AwaitAnswers(&setup, caller, 4));
         CPPUNIT_ASSERT(AnsweredIds(caller) == Ids({"p1", "p2", "p3", "p4"}));
-        CPPUNIT_ASSERT_EQUAL(uint64_t{3}, setting.Instance->Callers.Overlapped);
+        CPPUNIT_ASSERT_EQUAL(uint64_t{3}, setup.Instance->Callers.Overlapped);
     }
 
-    void AnswersWaitForThoseBefore()
+    void AnswersWaitForEarlierAnswers()
     {
-        Setting setting;
-        Prepare(&setting, 1, 5 * UsPerMs);
-        setting.Targets[0]->Script = {TargetAct_Silence}; // The first is never answered; it ends at its deadline.
-        const RawCaller caller(&setting.Fleet.Loop, setting.Instance->Config.CallerAddress);
+        Setup setup;
+        Prepare(&setup, 1, 5 * UsPerMs);
+        setup.Targets[0]->Script = {TargetAct_Silence}; // The first request gets no answer and ends at its deadline.
+        const RawCaller caller(&setup.Fleet.Loop, setup.Instance->Config.CallerAddress);
         RawSend(caller,
                 "GET /a/x HTTP/1.1\r\nHost: a.example\r\nWinchlink-Request-Id: stuck\r\nWinchlink-Deadline-Ms: 400\r\n\r\n" + Get("quick"));
-        CPPUNIT_ASSERT(RigRun(&setting.Fleet, [&]() { return RigRuns(setting.Fleet, "quick") == 1; }));
-        RigIdle(&setting.Fleet, 50 * UsPerMs);
+        CPPUNIT_ASSERT(RigRun(&setup.Fleet, [&]() { return RigRuns(setup.Fleet, "quick") == 1; }));
+        RigIdle(&setup.Fleet, 50 * UsPerMs);
         CPPUNIT_ASSERT_EQUAL(size_t{0}, Answers(caller));
-        CPPUNIT_ASSERT(AwaitAnswers(&setting, caller, 2));
+        CPPUNIT_ASSERT(AwaitAnswers(&setup, caller, 2));
         CPPUNIT_ASSERT(AnsweredIds(caller) == Ids({"stuck", "quick"}));
         CPPUNIT_ASSERT_EQUAL(size_t{0}, caller.Read.find("HTTP/1.1 504"));
     }
 
-    void AnUnsafeRequestWaitsAndNothingOvertakesIt()
+    void AnUnsafeRequestRunsAloneAndInOrder()
     {
-        Setting setting;
-        Prepare(&setting, 1, LongWorkUs);
-        const RawCaller caller(&setting.Fleet.Loop, setting.Instance->Config.CallerAddress);
+        Setup setup;
+        Prepare(&setup, 1, LongWorkUs);
+        const RawCaller caller(&setup.Fleet.Loop, setup.Instance->Config.CallerAddress);
         RawSend(caller, Get("before") + Post("unsafe", "b") + Get("behind"));
-        CPPUNIT_ASSERT(RigRun(&setting.Fleet, [&]() { return Running(setting) == 1; }));
-        CPPUNIT_ASSERT_EQUAL(0, RigRuns(setting.Fleet, "unsafe"));
-        CPPUNIT_ASSERT(AwaitAnswers(&setting, caller, 1));
-        CPPUNIT_ASSERT(RigRun(&setting.Fleet, [&]() { return RigRuns(setting.Fleet, "unsafe") == 1; }));
-        RigIdle(&setting.Fleet, 20 * UsPerMs);
-        CPPUNIT_ASSERT_EQUAL(0, RigRuns(setting.Fleet, "behind"));
-        CPPUNIT_ASSERT(AwaitAnswers(&setting, caller, 3));
+        CPPUNIT_ASSERT(RigRun(&setup.Fleet, [&]() { return Running(setup) == 1; }));
+        CPPUNIT_ASSERT_EQUAL(0, RigRuns(setup.Fleet, "unsafe"));
+        CPPUNIT_ASSERT(AwaitAnswers(&setup, caller, 1));
+        CPPUNIT_ASSERT(RigRun(&setup.Fleet, [&]() { return RigRuns(setup.Fleet, "unsafe") == 1; }));
+        RigIdle(&setup.Fleet, 20 * UsPerMs);
+        CPPUNIT_ASSERT_EQUAL(0, RigRuns(setup.Fleet, "behind"));
+        CPPUNIT_ASSERT(AwaitAnswers(&setup, caller, 3));
         CPPUNIT_ASSERT(AnsweredIds(caller) == Ids({"before", "unsafe", "behind"}));
-        CPPUNIT_ASSERT_EQUAL(uint64_t{0}, setting.Instance->Callers.Overlapped);
+        CPPUNIT_ASSERT_EQUAL(uint64_t{0}, setup.Instance->Callers.Overlapped);
     }
 
-    void NoMoreThanTheBoundAreBegun()
+    void ConcurrentRequestsAreLimited()
     {
-        Setting setting;
-        Prepare(&setting, 2, LongWorkUs);
-        setting.Instance->Callers.Config.OverlapMost = 3;
-        const RawCaller caller(&setting.Fleet.Loop, setting.Instance->Config.CallerAddress);
+        Setup setup;
+        Prepare(&setup, 2, LongWorkUs);
+        setup.Instance->Callers.Config.OverlapMost = 3;
+        const RawCaller caller(&setup.Fleet.Loop, setup.Instance->Config.CallerAddress);
         std::string all;
         for (int n = 0; n < 9; n++)
         {
@@ -170,99 +170,99 @@
         int most = 0;
         const auto answered = [&]()
         {
-            most = std::max(most, Running(setting));
+            most = std::max(most, Running(setup));
             return Answers(caller) == 9;
         };
-        CPPUNIT_ASSERT(RigRun(&setting.Fleet, answered));
+        CPPUNIT_ASSERT(RigRun(&setup.Fleet, answered));
         CPPUNIT_ASSERT_EQUAL(3, most);
     }
 
-    void ACallerThatLeavesEndsAllOfItsRequests()
+    void ADisconnectCancelsAllRequestsOfTheCaller()
     {
-        Setting setting;
-        Prepare(&setting, 2, 10 * UsPerSecond);
-        RawCaller caller(&setting.Fleet.Loop, setting.Instance->Config.CallerAddress);
+        Setup setup;
+        Prepare(&setup, 2, 10 * UsPerSecond);
+        RawCaller caller(&setup.Fleet.Loop, setup.Instance->Config.CallerAddress);
         RawSend(caller, Get("g1") + Get("g2") + Get("g3") + Post("never", "b"));
-        CPPUNIT_ASSERT(RigRun(&setting.Fleet, [&]() { return Running(setting) == 3; }));
+        CPPUNIT_ASSERT(RigRun(&setup.Fleet, [&]() { return Running(setup) == 3; }));
         RawClose(&caller);
         const auto cancelled = [&]()
         {
             int ended = 0;
-            for (const UsersTarget* target : setting.Targets)
+            for (const UsersTarget* target : setup.Targets)
             {
                 ended += static_cast<int>(
                     std::count_if(target->Saw.begin(), target->Saw.end(), [](const TargetSaw& saw) { return saw.Cancelled; }));
             }
             return ended == 3;
         };
-        CPPUNIT_ASSERT(RigRun(&setting.Fleet, cancelled));
-        CPPUNIT_ASSERT_EQUAL(0, setting.Instance->Requests.InProgress);
-        CPPUNIT_ASSERT(setting.Instance->Callers.Open.empty());
-        CPPUNIT_ASSERT_EQUAL(0, RigRuns(setting.Fleet, "never"));
+        CPPUNIT_ASSERT(RigRun(&setup.Fleet, cancelled));
+        CPPUNIT_ASSERT_EQUAL(0, setup.Instance->Requests.InProgress);
+        CPPUNIT_ASSERT(setup.Instance->Callers.Open.empty());
+        CPPUNIT_ASSERT_EQUAL(0, RigRuns(setup.Fleet, "never"));
     }
 
-    void WhatStandsBehindAClosingAnswerIsNotRun()
+    void RequestsAfterConnectionCloseAreNotRun()
     {
-        Setting setting;
-        Prepare(&setting, 1, 5 * UsPerMs);
-        const RawCaller caller(&setting.Fleet.Loop, setting.Instance->Config.CallerAddress);
+        Setup setup;
+        Prepare(&setup, 1, 5 * UsPerMs);
+        const RawCaller caller(&setup.Fleet.Loop, setup.Instance->Config.CallerAddress);
         RawSend(caller, "GET /a/x HTTP/1.1\r\nHost: a.example\r\nWinchlink-Request-Id: last\r\nConnection: close\r\n\r\n" + Get("b1") +
                             Post("b2", "b"));
-        CPPUNIT_ASSERT(RigRun(&setting.Fleet, [&]() { return caller.Ended; }));
+        CPPUNIT_ASSERT(RigRun(&setup.Fleet, [&]() { return caller.Ended; }));
         CPPUNIT_ASSERT_EQUAL(size_t{1}, Answers(caller));
         CPPUNIT_ASSERT_EQUAL(size_t{1}, CountOf(caller.Read, "Connection: close"));
-        CPPUNIT_ASSERT_EQUAL(0, RigRuns(setting.Fleet, "b1") + RigRuns(setting.Fleet, "b2"));
+        CPPUNIT_ASSERT_EQUAL(0, RigRuns(setup.Fleet, "b1") + RigRuns(setup.Fleet, "b2"));
     }
 
-    // Only the last answer says that the connection closes; what was read behind it was not run.
-    void AStopAnswersAllThatWereBegun()
+    // Only the last answer has "Connection: close"; later requests on the connection are not run.
+    void AStopAnswersAllRequestsInFlight()
     {
-        Setting setting;
-        Prepare(&setting, 1, LongWorkUs);
-        const RawCaller caller(&setting.Fleet.Loop, setting.Instance->Config.CallerAddress);
+        Setup setup;
+        Prepare(&setup, 1, LongWorkUs);
+        const RawCaller caller(&setup.Fleet.Loop, setup.Instance->Config.CallerAddress);
         RawSend(caller, Get("s1") + Get("s2") + Get("s3") + Post("s4", "b"));
-        CPPUNIT_ASSERT(RigRun(&setting.Fleet, [&]() { return Running(setting) == 3; }));
-        GatewayStop(setting.Instance);
-        CPPUNIT_ASSERT(RigRun(&setting.Fleet, [&]() { return caller.Ended; }));
+        CPPUNIT_ASSERT(RigRun(&setup.Fleet, [&]() { return Running(setup) == 3; }));
+        GatewayStop(setup.Instance);
+        CPPUNIT_ASSERT(RigRun(&setup.Fleet, [&]() { return caller.Ended; }));
         CPPUNIT_ASSERT(AnsweredIds(caller) == Ids({"s1", "s2", "s3"}));
         CPPUNIT_ASSERT_EQUAL(size_t{1}, CountOf(caller.Read, "Connection: close"));
         CPPUNIT_ASSERT(caller.Read.find("Connection: close") > caller.Read.find("Winchlink-Request-Id: s3"));
-        CPPUNIT_ASSERT_EQUAL(0, RigRuns(setting.Fleet, "s4"));
+        CPPUNIT_ASSERT_EQUAL(0, RigRuns(setup.Fleet, "s4"));
     }
 
-    void BytesMayBeSplitAnywhere()
+    void RequestsMayBeSplitAnywhere()
     {
-        Setting setting;
-        Prepare(&setting, 1, UsPerMs);
+        Setup setup;
+        Prepare(&setup, 1, UsPerMs);
         const std::string all = Get("w1") + Post("w2", "\r\nGET /a/x HTTP/1.1\r\n") + Get("w3") +
                                 "POST /u/x HTTP/1.1\r\nHost: a.example\r\nWinchlink-Request-Id: w4\r\nTransfer-Encoding: chunked\r\n\r\n"
                                 "3;x=y\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
         for (size_t split = 1; split < all.size(); split += 7)
         {
-            const RawCaller caller(&setting.Fleet.Loop, setting.Instance->Config.CallerAddress);
+            const RawCaller caller(&setup.Fleet.Loop, setup.Instance->Config.CallerAddress);
             RawSend(caller, all.substr(0, split));
-            RigIdle(&setting.Fleet, UsPerMs);
+            RigIdle(&setup.Fleet, UsPerMs);
             RawSend(caller, all.substr(split));
-            CPPUNIT_ASSERT(AwaitAnswers(&setting, caller, 4));
+            CPPUNIT_ASSERT(AwaitAnswers(&setup, caller, 4));
             CPPUNIT_ASSERT(AnsweredIds(caller) == Ids({"w1", "w2", "w3", "w4"}));
-            CPPUNIT_ASSERT_EQUAL(std::string("abcde"), setting.Targets[0]->Saw.back().Body);
+            CPPUNIT_ASSERT_EQUAL(std::string("abcde"), setup.Targets[0]->Saw.back().Body);
         }
     }
 
-    // At most one body is held for a connection.
-    void ARequestWithABodyIsWorkedOnAlone()
+    // At most one request body is buffered per connection.
+    void ARequestWithABodyRunsAlone()
     {
-        Setting setting;
-        Prepare(&setting, 1, LongWorkUs);
-        const RawCaller caller(&setting.Fleet.Loop, setting.Instance->Config.CallerAddress);
+        Setup setup;
+        Prepare(&setup, 1, LongWorkUs);
+        const RawCaller caller(&setup.Fleet.Loop, setup.Instance->Config.CallerAddress);
         RawSend(caller, Get("c1") + Post("c2", "body", "/a/x"));
-        CPPUNIT_ASSERT(AwaitAnswers(&setting, caller, 1));
-        CPPUNIT_ASSERT(AwaitAnswers(&setting, caller, 2));
-        CPPUNIT_ASSERT_EQUAL(uint64_t{0}, setting.Instance->Callers.Overlapped);
+        CPPUNIT_ASSERT(AwaitAnswers(&setup, caller, 1));
+        CPPUNIT_ASSERT(AwaitAnswers(&setup, caller, 2));
+        CPPUNIT_ASSERT_EQUAL(uint64_t{0}, setup.Instance->Callers.Overlapped);
     }
 
-    // Two readers could see other requests in these bytes: they are refused, and nothing of them runs.
-    void AmbiguousBytesAreRefusedAndRunNothing()
+    // Bytes that parsers may split into requests in different ways (request smuggling) are refused, and no part of them is run.
+    void AmbiguousRequestsAreRefused()
     {
         const std::string head = "POST /u/x HTTP/1.1\r\nHost: a.example\r\nWinchlink-Request-Id: amb\r\n";
         const std::string inner = Get("smuggled");
@@ -281,22 +281,21 @@
             "POST /u/x HTTP/2.0\r\nHost: a.example\r\nContent-Length: 0\r\n\r\n" + inner,
             "POST /u/x\r\n\r\n" + inner,
         };
-        Setting setting;
-        Prepare(&setting, 1, UsPerMs);
+        Setup setup;
+        Prepare(&setup, 1, UsPerMs);
         for (const std::string& bytes : all)
         {
-            const RawCaller caller(&setting.Fleet.Loop, setting.Instance->Config.CallerAddress);
+            const RawCaller caller(&setup.Fleet.Loop, setup.Instance->Config.CallerAddress);
             RawSend(caller, bytes);
-            CPPUNIT_ASSERT_MESSAGE(bytes, RigRun(&setting.Fleet, [&]() { return caller.Ended; }));
+            CPPUNIT_ASSERT_MESSAGE(bytes, RigRun(&setup.Fleet, [&]() { return caller.Ended; }));
             CPPUNIT_ASSERT_EQUAL_MESSAGE(bytes, size_t{0}, caller.Read.find("HTTP/1.1 400"));
             CPPUNIT_ASSERT_EQUAL_MESSAGE(bytes, size_t{1}, Answers(caller));
         }
-        CPPUNIT_ASSERT_EQUAL(0, RigRuns(setting.Fleet, "amb") + RigRuns(setting.Fleet, "smuggled"));
+        CPPUNIT_ASSERT_EQUAL(0, RigRuns(setup.Fleet, "amb") + RigRuns(setup.Fleet, "smuggled"));
     }
 
-    // What stands behind a chunked body, and came in the same read, counted as headers: a second host was refused when it came at once,
-    // and a request got other headers when it came in pieces.
-    void TrailersAreNoHeaders()
+    // Trailers behind a chunked body must not be taken as headers, however the bytes are split into reads.
+    void TrailersAreNotHeaders()
     {
         const std::string trailers = "Host: b.example\r\nWinchlink-Request-Id: other\r\nConnection: close\r\n\r\n";
         const std::string bytes = "POST /u/x HTTP/1.1\r\nHost: a.example\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n" + trailers;
@@ -318,7 +317,7 @@
         }
     }
 
-    void TrailersWithoutEndAreRefused()
+    void EndlessTrailersAreRefused()
     {
         RequestReader reader;
         RequestReaderBegin(&reader, CallerLimits());
@@ -332,30 +331,30 @@
         CPPUNIT_ASSERT_EQUAL(Code_HeadersTooLarge, reader.Code);
     }
 
-    void AMalformedRequestIsAnsweredBehindThoseBeforeIt()
+    void AMalformedRequestIsAnsweredInOrder()
     {
-        Setting setting;
-        Prepare(&setting, 1, LongWorkUs);
-        const RawCaller caller(&setting.Fleet.Loop, setting.Instance->Config.CallerAddress);
+        Setup setup;
+        Prepare(&setup, 1, LongWorkUs);
+        const RawCaller caller(&setup.Fleet.Loop, setup.Instance->Config.CallerAddress);
         RawSend(caller, Get("m1") + Get("m2") + "\x16\x03 no request\r\n\r\n" + Get("m3"));
-        CPPUNIT_ASSERT(RigRun(&setting.Fleet, [&]() { return caller.Ended; }));
+        CPPUNIT_ASSERT(RigRun(&setup.Fleet, [&]() { return caller.Ended; }));
         CPPUNIT_ASSERT_EQUAL(size_t{3}, Answers(caller));
         CPPUNIT_ASSERT(AnsweredIds(caller) == Ids({"m1", "m2"}));
         CPPUNIT_ASSERT(caller.Read.find("HTTP/1.1 400") > caller.Read.find("m2"));
-        CPPUNIT_ASSERT_EQUAL(0, RigRuns(setting.Fleet, "m3"));
+        CPPUNIT_ASSERT_EQUAL(0, RigRuns(setup.Fleet, "m3"));
     }
 
-    void ABodyIsSentAfterTheCallerIsToldToContinue()
+    void ExpectContinueIsAnswered()
     {
-        Setting setting;
-        Prepare(&setting, 1, UsPerMs);
-        const RawCaller caller(&setting.Fleet.Loop, setting.Instance->Config.CallerAddress);
+        Setup setup;
+        Prepare(&setup, 1, UsPerMs);
+        const RawCaller caller(&setup.Fleet.Loop, setup.Instance->Config.CallerAddress);
         RawSend(caller,
                 "POST /u/x HTTP/1.1\r\nHost: a.example\r\nWinchlink-Request-Id: cont\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n");
-        CPPUNIT_ASSERT(RigRun(&setting.Fleet, [&]() { return caller.Read == "HTTP/1.1 100 Continue\r\n\r\n"; }));
+        CPPUNIT_ASSERT(RigRun(&setup.Fleet, [&]() { return caller.Read == "HTTP/1.1 100 Continue\r\n\r\n"; }));
         RawSend(caller, "ok");
-        CPPUNIT_ASSERT(AwaitAnswers(&setting, caller, 2));
-        CPPUNIT_ASSERT_EQUAL(1, RigRuns(setting.Fleet, "cont"));
+        CPPUNIT_ASSERT(AwaitAnswers(&setup, caller, 2));
+        CPPUNIT_ASSERT_EQUAL(1, RigRuns(setup.Fleet, "cont"));
     }
 };
 
