--- a/tests/plan_test.cpp
+++ b/tests/plan_test.cpp
@@ -1,4 +1,5 @@
-// plan_test.cpp: the route plan: which route a request belongs to, and how a route's requests are divided.
+// plan_test.cpp: the route plan. Guards against requests that match the wrong route, and against a wrong split of a route's requests by
+// weight.
 
 #include "check.h"
 
@@ -18,8 +19,8 @@
     return route;
 }
 
-// The same question answered the plain way: try every prefix of the path, longest first.
-static std::string FoundByTrying(const RoutePlan& plan, const std::string& host, const std::string& path)
+// Reference implementation of FindRoute: tries every prefix of the path, longest first.
+static std::string FindRouteByTrying(const RoutePlan& plan, const std::string& host, const std::string& path)
 {
     for (size_t length = path.size(); length > 0; length--)
     {
@@ -41,9 +42,9 @@
     CPPUNIT_TEST(LongestPrefixOfTheHostWins);
     CPPUNIT_TEST(QueryAndPortDoNotCount);
     CPPUNIT_TEST(ANamedHostWinsOverAnyHost);
-    CPPUNIT_TEST(MethodsMayBeRepeatedOneByOne);
-    CPPUNIT_TEST(PartsKeepTheirWeightsOverAnyRun);
-    CPPUNIT_TEST(AFleetKeepsWeightsOverTwoHundred);
+    CPPUNIT_TEST(RetryableMethodsAreRespected);
+    CPPUNIT_TEST(SplitFollowsWeights);
+    CPPUNIT_TEST(SplitOfAFleetFollowsWeights);
     CPPUNIT_TEST_SUITE_END();
 
     void LongestPrefixOfTheHostWins()
@@ -64,7 +65,7 @@
                                }
                                if (prefix.size() > 1 && dice.OneIn(3))
                                {
-                                   prefix.pop_back(); // "/x" serves "/x" and "/x/y", and not "/xy".
+                                   prefix.pop_back(); // "/x" matches "/x" and "/x/y", but not "/xy".
                                }
                                if (used.insert(host + prefix).second)
                                {
@@ -78,7 +79,7 @@
                            }
                            const std::string host = dice.OneIn(2) ? "a" : "b";
                            const Route* found = FindRoute(plan, host, path);
-                           RC_ASSERT((found != nullptr ? found->Name : "") == FoundByTrying(plan, host, path));
+                           RC_ASSERT((found != nullptr ? found->Name : "") == FindRouteByTrying(plan, host, path));
                        });
     }
 
@@ -103,7 +104,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("named"), FindRoute(plan, "a.example", "/a/long/prefix")->Name);
     }
 
-    void MethodsMayBeRepeatedOneByOne()
+    void RetryableMethodsAreRespected()
     {
         Route route = MakeRoute("r", "", "/");
         route.RepeatMethods = {"GET", "PUT"};
@@ -112,7 +113,7 @@
         CPPUNIT_ASSERT(MayRepeat(route, "POST"));
     }
 
-    void PartsKeepTheirWeightsOverAnyRun()
+    void SplitFollowsWeights()
     {
         CHECK_PROPERTY("after any number of requests each part is within one request of its share",
                        []()
@@ -137,14 +138,14 @@
                            for (size_t n = 0; n < parts.size(); n++)
                            {
                                const double share = static_cast<double>(requests * parts[n].Weight) / static_cast<double>(sum);
-                               RC_ASSERT(std::fabs(got[n] - share) <= 2.0); // One for the start in the middle of a round.
+                               RC_ASSERT(std::fabs(got[n] - share) <= 2.0); // The random start in the middle of a round adds one.
                                RC_ASSERT(parts[n].Weight > 0 || got[n] == 0);
                            }
                        });
     }
 
-    // Eighteen instances that know nothing of each other, each with a handful of the 200 requests.
-    void AFleetKeepsWeightsOverTwoHundred()
+    // 18 instances split independently, and each gets only a few of the 200 requests.
+    void SplitOfAFleetFollowsWeights()
     {
         CHECK_PROPERTY("over 200 requests of a fleet each part is within 0.1 of its weight",
                        []()
