--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -1,4 +1,5 @@
-// process_test.cpp: the real program as separate processes: a rolled fleet, starts that fail, a second stop signal, the commands.
+// process_test.cpp: runs the program as separate processes. Guards against requests lost in a rolling restart, a second stop signal without
+// effect, and wrong exit codes and error messages.
 
 #include "check.h"
 #include "clock.h"
@@ -24,17 +25,17 @@
     return plan;
 }
 
-static bool Names(const std::vector<std::string>& broken, const std::string& what)
+static bool ContainsText(const std::vector<std::string>& broken, const std::string& what)
 {
     return std::any_of(broken.begin(), broken.end(), [&](const std::string& line) { return line.find(what) != std::string::npos; });
 }
 
-// The status of a process that has ended. One that does not end is killed, which is a status of its own.
-static int AwaitEnd(pid_t pid)
+// Waits until a process ends and returns its wait status. After a timeout the process is killed, which the status shows.
+static int AwaitExit(pid_t pid)
 {
-    constexpr TimeUs patience = 30 * UsPerSecond; // Nothing here takes so long unless it hangs.
-    constexpr useconds_t look_again = 10000;
-    const TimeUs until = NowUs() + patience;
+    constexpr TimeUs timeout = 30 * UsPerSecond; // Longer than any command here takes.
+    constexpr useconds_t poll_interval = 10000;
+    const TimeUs until = NowUs() + timeout;
     int status = 0;
     while (waitpid(pid, &status, WNOHANG) == 0)
     {
@@ -42,26 +43,26 @@
         {
             kill(pid, SIGKILL);
         }
-        usleep(look_again);
+        usleep(poll_interval);
     }
     return status;
 }
 
-// Runs a command to its end; its exit code and what it printed.
-struct Finished
+// Exit code and output of a finished command.
+struct CommandResult
 {
     int Code = -1;
     std::string Output;
 };
 
-static Finished RunCommand(const std::vector<std::string>& arguments)
+static CommandResult RunCommand(const std::vector<std::string>& arguments)
 {
     const std::string log = MakeFolder("winchlink-test") + "/output";
     std::vector<std::string> command = {WINCHLINK_PROGRAM};
     command.insert(command.end(), arguments.begin(), arguments.end());
     const pid_t pid = StartProcess(command, log, {});
     CPPUNIT_ASSERT(pid > 0);
-    const int status = AwaitEnd(pid);
+    const int status = AwaitExit(pid);
     std::ifstream file(log);
     std::string output((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
     return {WIFEXITED(status) ? WEXITSTATUS(status) : -1, output};
@@ -77,14 +78,14 @@
 class ProcessTest : public CPPUNIT_NS::TestFixture
 {
     CPPUNIT_TEST_SUITE(ProcessTest);
-    CPPUNIT_TEST(RollOfTheFleetCutsNothing);
-    CPPUNIT_TEST(FindsCutRequests);
-    CPPUNIT_TEST(SecondSignalEndsAtOnce);
-    CPPUNIT_TEST(BadStartsSayWhy);
-    CPPUNIT_TEST(StatusTellsWhetherItServes);
+    CPPUNIT_TEST(RollingRestartLosesNoRequests);
+    CPPUNIT_TEST(AuditFindsLostRequests);
+    CPPUNIT_TEST(SecondSignalStopsImmediately);
+    CPPUNIT_TEST(FailedStartsReportTheError);
+    CPPUNIT_TEST(StatusAndCheckReturnExitCodes);
     CPPUNIT_TEST_SUITE_END();
 
-    void RollOfTheFleetCutsNothing()
+    void RollingRestartLosesNoRequests()
     {
         const std::optional<SoakResult> result = PlaySoak(RollPlan(SoakFaults_Roll));
         CPPUNIT_ASSERT(result.has_value());
@@ -94,15 +95,15 @@
         CPPUNIT_ASSERT_EQUAL_MESSAGE(broken.empty() ? "" : broken[0], size_t{0}, broken.size());
     }
 
-    // Instances that are killed where the log has planned stops: if this were not found, the test above would prove nothing.
-    void FindsCutRequests()
+    // Kills instances where the log says that they were stopped, to show that the audit detects lost requests.
+    void AuditFindsLostRequests()
     {
         const std::optional<SoakResult> result = PlaySoak(RollPlan(SoakFaults_KilledRoll));
         CPPUNIT_ASSERT(result.has_value());
-        CPPUNIT_ASSERT(Names(AuditSoak(result->Log, SoakBounds()), "cut"));
+        CPPUNIT_ASSERT(ContainsText(AuditSoak(result->Log, SoakBounds()), "cut"));
     }
 
-    void SecondSignalEndsAtOnce()
+    void SecondSignalStopsImmediately()
     {
         Fleet fleet;
         FleetPlan plan;
@@ -125,20 +126,20 @@
         kill(pid, SIGTERM);
         FleetRun(&fleet, 200 * UsPerMs);
         kill(pid, SIGTERM);
-        const int status = AwaitEnd(pid);
+        const int status = AwaitExit(pid);
         fleet.Instances[0].Pid = -1;
         CPPUNIT_ASSERT(WIFEXITED(status));
-        CPPUNIT_ASSERT_EQUAL(4, WEXITSTATUS(status)); // Ended with a request in progress.
+        CPPUNIT_ASSERT_EQUAL(4, WEXITSTATUS(status)); // Stopped with a request in progress.
         CPPUNIT_ASSERT(NowUs() - start < 15 * UsPerSecond);
     }
 
-    void BadStartsSayWhy()
+    void FailedStartsReportTheError()
     {
-        const Finished missing = RunCommand({"serve", "--settings", "/does/not/exist"});
+        const CommandResult missing = RunCommand({"serve", "--settings", "/does/not/exist"});
         CPPUNIT_ASSERT_EQUAL(2, missing.Code);
         CPPUNIT_ASSERT(missing.Output.find("1001") != std::string::npos);
         const std::string wrong = WriteFile(R"({"instance": "i", "colour": 1})");
-        const Finished unknown = RunCommand({"gateway", "--settings", wrong});
+        const CommandResult unknown = RunCommand({"gateway", "--settings", wrong});
         CPPUNIT_ASSERT_EQUAL(2, unknown.Code);
         CPPUNIT_ASSERT(unknown.Output.find("1003") != std::string::npos && unknown.Output.find("1005") != std::string::npos);
         CPPUNIT_ASSERT_EQUAL(1, RunCommand({"serve", "--check", "--settings", wrong}).Code);
@@ -153,19 +154,19 @@
             fmt::format(R"({{"instance": "i", "dataCentre": "dc1", "callerAddress": "{}", "readyAddress": "{}", "storeAddress": "{}"}})",
                         taken, FreeLoopback(), FreeLoopback()));
         CPPUNIT_ASSERT_EQUAL(0, RunCommand({"serve", "--check", "--settings", settings}).Code);
-        const Finished in_use = RunCommand({"serve", "--settings", settings});
+        const CommandResult in_use = RunCommand({"serve", "--settings", settings});
         CPPUNIT_ASSERT_EQUAL(3, in_use.Code);
         CPPUNIT_ASSERT(in_use.Output.find("5001") != std::string::npos);
     }
 
-    void StatusTellsWhetherItServes()
+    void StatusAndCheckReturnExitCodes()
     {
         const std::string nobody = FreeLoopback();
         CPPUNIT_ASSERT_EQUAL(2, RunCommand({"status", nobody}).Code);
         CPPUNIT_ASSERT_EQUAL(2, RunCommand({"status", "nowhere"}).Code);
         const std::string source = WINCHLINK_SOURCE;
         CPPUNIT_ASSERT_EQUAL(0, RunCommand({"check", source + "/examples/table.json", source + "/examples/settings.json"}).Code);
-        const Finished bad = RunCommand({"check", source + "/tests/bad_table.json"});
+        const CommandResult bad = RunCommand({"check", source + "/tests/bad_table.json"});
         CPPUNIT_ASSERT_EQUAL(1, bad.Code);
         CPPUNIT_ASSERT(bad.Output.find("1109") != std::string::npos);
     }
