--- a/tests/store_reader_test.cpp
+++ b/tests/store_reader_test.cpp
@@ -1,4 +1,5 @@
-// store_reader_test.cpp: the users' spelling, read into the project's types: what is good, what is bad, pages.
+// store_reader_test.cpp: decoding of the platform's store format, and reading the store. Guards against invalid data that is accepted or
+// that hides valid data, and against missed pages.
 
 #include "gateway_rig.h"
 #include "wire.h"
@@ -19,13 +20,13 @@
 {
     CPPUNIT_TEST_SUITE(StoreReaderTest);
     CPPUNIT_TEST(ReadsPlans);
-    CPPUNIT_TEST(KnowsWhichTypesMayBeRepeated);
-    CPPUNIT_TEST(RefusesPlansThatAreNotWhole);
-    CPPUNIT_TEST(ReadsWhatColdTargetsBear);
+    CPPUNIT_TEST(KnowsWhichTypesAreRetryable);
+    CPPUNIT_TEST(RefusesIncompletePlans);
+    CPPUNIT_TEST(ReadsWarmupRates);
     CPPUNIT_TEST(ReadsTargets);
     CPPUNIT_TEST(ReadsPagesAndChanges);
     CPPUNIT_TEST(ReadsAllPages);
-    CPPUNIT_TEST(GathersChanges);
+    CPPUNIT_TEST(BatchesChanges);
     CPPUNIT_TEST_SUITE_END();
 
     void ReadsPlans()
@@ -47,7 +48,7 @@
         CPPUNIT_ASSERT_EQUAL(TimeUs{15000000}, plan.value().Limits.IdleTimeoutUs);
     }
 
-    void KnowsWhichTypesMayBeRepeated()
+    void KnowsWhichTypesAreRetryable()
     {
         for (const auto& [type, repeatable] :
              std::map<std::string, bool>{{"safe", true}, {"download", true}, {"unsafe", false}, {"upload", false}, {"other", false}})
@@ -60,7 +61,7 @@
         }
     }
 
-    void RefusesPlansThatAreNotWhole()
+    void RefusesIncompletePlans()
     {
         const std::string good = GoodPlan;
         for (const char* key : {"version", "host", "pathPrefix", "type", "timeoutS", "targetLatencyS", "priority", "maxAttempts",
@@ -80,7 +81,7 @@
         }
     }
 
-    void ReadsWhatColdTargetsBear()
+    void ReadsWarmupRates()
     {
         const std::string service = R"({"name":"s","healthPath":"/h","maxConnections":9,"warmupS":3.0,"warmupPerS":2.5})";
         const std::string plan = R"({"version":"00000007","routes":[],"services":[)" + service +
@@ -136,7 +137,7 @@
         {
             CPPUNIT_ASSERT_MESSAGE(bad, !dialect.ReadPage(bad));
         }
-        // An item that can't be read stands alone: it has its name, no value, and a revision by which it replaces what was known.
+        // An invalid item does not affect others: it has a key, no value, and a revision by which it replaces the previous value.
         for (const char* unreadable : {R"({"items":[{"privateKey":"servers/k"}],"at":7})",
                                        R"({"items":[{"privateKey":"servers/k","value":"%%","revision":7}],"at":9})"})
         {
@@ -164,12 +165,12 @@
         CPPUNIT_ASSERT(rig.Store.PageCalls >= 8);
     }
 
-    void GathersChanges()
+    void BatchesChanges()
     {
         Rig rig;
         RigConfigure(&rig, {UsersRoute()});
         Gateway& instance = RigInstance(&rig, 0);
-        instance.Store.FromStore.GatherUs = 3 * UsPerSecond; // Longer than the changes take, however busy the machine is.
+        instance.Store.FromStore.GatherUs = 3 * UsPerSecond; // Longer than all changes take, also on a busy machine.
         const int calls = rig.Store.Calls;
         for (int n = 0; n < 20; n++)
         {
@@ -177,7 +178,7 @@
             RigIdle(&rig, UsPerMs);
         }
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.Directory.Targets.size() == 20; }));
-        CPPUNIT_ASSERT(rig.Store.Calls - calls <= 4); // For 20 changes.
+        CPPUNIT_ASSERT(rig.Store.Calls - calls <= 4); // For 20 changes, as they are batched.
     }
 };
 
