--- a/tests/table_test.cpp
+++ b/tests/table_test.cpp
@@ -1,4 +1,5 @@
-// table_test.cpp: addresses, reading and checking tables, the plan that serves one.
+// table_test.cpp: parsing and validation of addresses and tables, and the route plan made from a table. Guards against invalid tables that
+// are accepted, and faults that are not reported.
 
 #include "check.h"
 
@@ -20,18 +21,18 @@
 {
     CPPUNIT_TEST_SUITE(TableTest);
     CPPUNIT_TEST(ReadsAGoodTable);
-    CPPUNIT_TEST(NamesEveryFault);
+    CPPUNIT_TEST(ReportsEveryFault);
     CPPUNIT_TEST(RefusesBrokenJson);
     CPPUNIT_TEST(RefusesDuplicateKeys);
     CPPUNIT_TEST(RefusesBadRows);
-    CPPUNIT_TEST(EvacuatesDataCentresThatAreKnown);
+    CPPUNIT_TEST(EvacuatesOnlyKnownDataCentres);
     CPPUNIT_TEST(RefusesTextsThatAreTooLong);
-    CPPUNIT_TEST(RefusesOneByteTooMany);
-    CPPUNIT_TEST(WritesWhatItReads);
-    CPPUNIT_TEST(RefusesKeysOfFormerTables);
-    CPPUNIT_TEST(AddressesAreStrict);
-    CPPUNIT_TEST(ThePlanServesTheTable);
-    CPPUNIT_TEST(GarbageNeverCrashes);
+    CPPUNIT_TEST(RefusesLargeDocuments);
+    CPPUNIT_TEST(FormattedTablesParseToTheSame);
+    CPPUNIT_TEST(RefusesKeysOfEarlierVersions);
+    CPPUNIT_TEST(RefusesMalformedAddresses);
+    CPPUNIT_TEST(MakesThePlanFromTheTable);
+    CPPUNIT_TEST(MutatedTablesAreReadOrRefused);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -47,7 +48,7 @@
         CPPUNIT_ASSERT_EQUAL(2, row.Targets[0].Weight);
     }
 
-    void NamesEveryFault()
+    void ReportsEveryFault()
     {
         const CheckedTable checked = ParseTable(R"({"revision": 1, "colour": 1, "rows": [
             {"name": "a", "pathPrefix": "a", "targets": [{"address": "nowhere", "weight": -1}, {"address": "127.0.0.1:1", "wieght": 1}]},
@@ -101,8 +102,8 @@
         CPPUNIT_ASSERT(HasFault(typed.Faults, Code_TableWrongType, "rows[0].targets"));
     }
 
-    // Such a row has no encoding; reading it must end in faults all the same.
-    void EvacuatesDataCentresThatAreKnown()
+    // Only data centres of the table's targets may be evacuated, each at most once.
+    void EvacuatesOnlyKnownDataCentres()
     {
         Table table = ParseTable(GoodTable).Value;
         table.Evacuated = {"a"};
@@ -135,7 +136,7 @@
         CPPUNIT_ASSERT(!ParseRow(row).has_value());
     }
 
-    void RefusesOneByteTooMany()
+    void RefusesLargeDocuments()
     {
         const Table table = ParseTable(GoodTable).Value;
         std::string row = FormatRow(table.Rows[0]);
@@ -148,7 +149,7 @@
         CPPUNIT_ASSERT_EQUAL(int(Code_TableTooLarge), int(ParseTable(text + " ").Faults.at(0).Code));
     }
 
-    void WritesWhatItReads()
+    void FormattedTablesParseToTheSame()
     {
         const Table table = ParseTable(GoodTable).Value;
         const CheckedTable again = ParseTable(FormatTable(table));
@@ -159,8 +160,8 @@
         CPPUNIT_ASSERT_EQUAL(FormatRow(table.Rows[0]), FormatRow(row.value()));
     }
 
-    // What was shared by instance numbers is gone: a table that still names it must not come in force with another meaning.
-    void RefusesKeysOfFormerTables()
+    // Tables with keys of earlier versions are refused, as they would not have the intended effect.
+    void RefusesKeysOfEarlierVersions()
     {
         for (const char* key : {"maxConcurrent", "maxConnections", "measuringBudgetMs", "probeCostMs", "firstNumber", "numbers"})
         {
@@ -171,7 +172,7 @@
         }
     }
 
-    void AddressesAreStrict()
+    void RefusesMalformedAddresses()
     {
         for (const char* bad : {"", "1.2.3.4", "1.2.3.4:", "1.2.3.4:0", "1.2.3.4:65536", "1.2.3.4:123456", "1.2.3:1", "1.2.3.4.5:1", "a:1",
                                 "1.2.3.4:1 ", " 1.2.3.4:1", "1.2.3.4:+1", "1.2.3.4:-1", "[::1]:1", "1.2.3.4:1:1", "01.2.3.4:1"})
@@ -182,7 +183,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:65535"), FormatEndpoint(ParseEndpoint("10.0.0.1:65535").value()));
     }
 
-    void ThePlanServesTheTable()
+    void MakesThePlanFromTheTable()
     {
         Table table;
         table.Revision = 9;
@@ -208,7 +209,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("shop"), FindRoute(plan, "shop.example", "/loans/7")->Name);
     }
 
-    void GarbageNeverCrashes()
+    void MutatedTablesAreReadOrRefused()
     {
         CHECK_PROPERTY("mutated tables are read or refused",
                        []()
