--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -59,8 +59,7 @@
 static bool MeasureRows(int rows)
 {
     constexpr int edits = 40;
-    constexpr TimeUs between_edits =
-        500 * UsPerMs; // Longer than the batching interval for changes, so that each edit is applied separately.
+    constexpr TimeUs between_edits = 500 * UsPerMs; // Longer than changes are batched, so that each edit is applied separately.
     Fleet fleet;
     FleetPlan plan;
     plan.Instances = 1;
@@ -102,8 +101,8 @@
 static void StartFollower(Fleet* fleet, Follower* follower, Client* client, Random* random)
 {
     const std::string& address = fleet->Instances[0].Peers;
-    const TimeUs patience = UsPerSecond; // Long poll, its answer, and a page.
-    follower->Reader.FromInstance = {RelayDialect({}), patience, patience, 0, patience, patience};
+    const TimeUs timeout = UsPerSecond; // Long poll, its answer, and a page.
+    follower->Reader.FromInstance = {RelayDialect({}), timeout, timeout, 0, timeout, timeout};
     follower->Reader.FromStore = follower->Reader.FromInstance; // Not used: the instance is always reachable.
     FollowSetSources(&follower->Reader.Following, "", address, {address}, random);
     follower->Reader.OnAll = [](const StorePage&, uint64_t) {
