--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -117,7 +117,7 @@
 
 static bool AwaitReady(Fleet* fleet)
 {
-    constexpr TimeUs look_again = 20 * UsPerMs;
+    constexpr TimeUs poll_interval = 20 * UsPerMs;
     const TimeUs until = NowUs() + ReadyMaxUs;
     for (const FleetInstance& instance : fleet->Instances)
     {
@@ -127,7 +127,7 @@
             {
                 return false;
             }
-            FleetRun(fleet, look_again);
+            FleetRun(fleet, poll_interval);
         }
     }
     return true;
@@ -285,7 +285,7 @@
 
 static void SendTo(LoadRun* run, size_t index, size_t entry, TimeUs planned)
 {
-    constexpr TimeUs patience = 10 * UsPerSecond;
+    constexpr TimeUs timeout = 10 * UsPerSecond;
     const LoadRecord& record = run->Records[index];
     const LoadKind& what = run->Kinds[record.Kind];
     ClientRequest request;
@@ -294,7 +294,7 @@
     request.Target = fmt::format("/{}/{}", what.Row, index);
     request.Headers = {{"Host", "bench.example"}, {"X-Request-Id", record.Id}, {"X-Deadline-Ms", std::to_string(what.DeadlineMs)}};
     request.HasBody = what.Method == "POST";
-    request.TimeoutUs = patience;
+    request.TimeoutUs = timeout;
     ClientSend(&run->Owner->Calls, std::move(request),
                [run, index, entry, planned](const ClientAnswer& answer) { OnAnswered(run, index, entry, planned, answer); });
 }
