--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -22,7 +22,7 @@
     {"policies", "compares the choice of targets with common load-balancing policies", RunPolicies},
     {"pool", "measures target-pool operations by the number of targets", RunPool},
     {"capacity", "measures cost by rows, edits, followers and request rate", RunCapacity},
-    {"soak", "runs gateway processes under random faults and checks their logs", RunSoak},
+    {"soak", "runs gateway processes under random faults and audits the results", RunSoak},
     {"added", "measures the latency that an instance adds", RunAdded},
 };
 
