--- a/bench/policies.cpp
+++ b/bench/policies.cpp
@@ -1,7 +1,7 @@
 // policies.cpp: winchbench policies: compares winchlink's choice of targets with common load-balancing policies.
 //
-// Each policy runs on a new fleet with the same seeds, hence the same load and noise; each round runs all policies in turn. The results are
-// printed as a Markdown table.
+// Each policy runs on a new fleet with the same random seeds; each round runs all policies in turn. The results are printed as a Markdown
+// table.
 
 #include "bench.h"
 #include "fleet.h"
