--- a/bench/pool_sizes.cpp
+++ b/bench/pool_sizes.cpp
@@ -48,11 +48,11 @@
 
 static void ProbeSome(TargetPool* pool, TimeUs now)
 {
-    std::vector<std::string> asked;
+    std::vector<std::string> probed;
     for (int n = 0; n < ProbesPerRequest; n++)
     {
-        PoolTarget* next = PoolNext(pool, asked, false, now);
-        asked.push_back(next->Id);
+        PoolTarget* next = PoolNext(pool, probed, false, now);
+        probed.push_back(next->Id);
         PoolReport(next, {2, 0, 2, 100}, now);
     }
 }
@@ -82,7 +82,7 @@
         const std::set<std::string> services = DirectoryTakeChanged(&directory);
         PoolFollow(&pool, DirectoryOfServices(directory, services).at("svc"), "near", &random);
     };
-    const auto ask = [&]()
+    const auto probe = [&]()
     {
         now += pause;
         ProbeSome(&pool, now);
@@ -92,7 +92,7 @@
         PoolFind(&pool, busy.front());
     };
     fmt::print("| {} | {:.3f} | {:.2f} | {:.3f} |\n", size, MeasureSeconds(follow, follows) * 1e3,
-               MeasureSeconds(ask, requests) / ProbesPerRequest * 1e6, MeasureSeconds(find, requests) * 1e6);
+               MeasureSeconds(probe, requests) / ProbesPerRequest * 1e6, MeasureSeconds(find, requests) * 1e6);
 }
 
 // Measures the time to compute the key by which requests that crash targets are recognised.
