--- a/bench/proxy.cpp
+++ b/bench/proxy.cpp
@@ -92,10 +92,10 @@
         proxy->Pairs.erase(id);
         return;
     }
-    constexpr TimeUs again = 5 * UsPerMs; // For when the receiver did not accept all bytes, or the mode forbids forwarding.
+    constexpr TimeUs retry_delay = 5 * UsPerMs; // For when the receiver did not accept all bytes, or the mode forbids forwarding.
     if (!flow->Buffered.empty() || flow->Closed)
     {
-        flow->ForwardTimer = TimerStart(proxy->Loop, again, [proxy, id, up]() { ForwardPending(proxy, id, up); });
+        flow->ForwardTimer = TimerStart(proxy->Loop, retry_delay, [proxy, id, up]() { ForwardPending(proxy, id, up); });
     }
 }
 
