--- a/bench/proxy.h
+++ b/bench/proxy.h
@@ -1,4 +1,5 @@
-// proxy.h: a TCP proxy for fault injection. It delays, drops or resets the traffic of its connections, or drops one direction only.
+// proxy.h: a TCP proxy for fault injection. It delays, holds back or resets the traffic of its connections, or holds back one direction
+// only.
 
 #pragma once
 
