--- a/tests/check.h
+++ b/tests/check.h
@@ -50,10 +50,10 @@
     {
     }
 
-    // Returns a uniformly distributed number in [least, end).
-    int64_t Between(int64_t least, int64_t end)
+    // Returns a uniformly distributed number in [min, end).
+    int64_t Between(int64_t min, int64_t end)
     {
-        return std::uniform_int_distribution<int64_t>(least, end - 1)(Rng);
+        return std::uniform_int_distribution<int64_t>(min, end - 1)(Rng);
     }
 
     // Returns true with probability 1/n.
