--- a/tests/main.cpp
+++ b/tests/main.cpp
@@ -44,8 +44,8 @@
 
 bool IsSelected(const Selection& selection, const std::string& name)
 {
-    const bool wanted = selection.Only.empty() || StartsWithAny(name, selection.Only);
-    return wanted && !StartsWithAny(name, selection.Skip);
+    const bool included = selection.Only.empty() || StartsWithAny(name, selection.Only);
+    return included && !StartsWithAny(name, selection.Skip);
 }
 
 Selection ReadArguments(int argc, char** argv)
