--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -1,9 +1,9 @@
-// fleet.cpp: a small fleet on this machine for experiments.
+// fleet.cpp: runs a small fleet on this machine for benchmarks.
 //
 // Index of this file:
 // [SECTION] Table and targets
 // [SECTION] Instances
-// [SECTION] Asking
+// [SECTION] Metrics
 // [SECTION] Noise
 // [SECTION] Load
 
@@ -18,7 +18,7 @@
 namespace Winchlink
 {
 
-static constexpr TimeUs ReadyMostUs = 20 * UsPerSecond;
+static constexpr TimeUs ReadyMaxUs = 20 * UsPerSecond;
 
 //-----------------------------------------------------------------------------
 // [SECTION] Table and targets
@@ -36,7 +36,7 @@
     row.PathPrefix = "/" + plan.Name + "/";
     row.Class = plan.Class;
     row.DeadlineMs = plan.DeadlineMs;
-    row.HealthPath = plan.Asks ? "/health" : "";
+    row.HealthPath = plan.UsesProbes ? "/health" : "";
     row.RetryMethods = {"GET"};
     return row;
 }
@@ -117,8 +117,8 @@
 
 static bool AwaitReady(Fleet* fleet)
 {
-    constexpr TimeUs look_again = 20 * UsPerMs;
-    const TimeUs until = NowUs() + ReadyMostUs;
+    constexpr TimeUs poll_interval = 20 * UsPerMs;
+    const TimeUs until = NowUs() + ReadyMaxUs;
     for (const FleetInstance& instance : fleet->Instances)
     {
         while (Get(fleet, instance.Ready, "/ready").Status != 200)
@@ -127,7 +127,7 @@
             {
                 return false;
             }
-            FleetRun(fleet, look_again);
+            FleetRun(fleet, poll_interval);
         }
     }
     return true;
@@ -202,7 +202,7 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Asking
+// [SECTION] Metrics
 //-----------------------------------------------------------------------------
 
 double FleetMetric(Fleet* fleet, size_t index, const std::string& name)
@@ -221,14 +221,14 @@
     return static_cast<TimeUs>(std::exponential_distribution<double>(1.0 / static_cast<double>(mean))(*random));
 }
 
-static void ChangePace(Fleet* fleet, FleetTarget* target, double share, int factor, TimeUs burst, Random* random)
+static void ChangeSpeed(Fleet* fleet, FleetTarget* target, double share, int factor, TimeUs burst, Random* random)
 {
     constexpr int usual = 100;
     const bool slow = target->Part.PacePercent == usual;
     const auto between = static_cast<TimeUs>(static_cast<double>(burst) * (1 - share) / share);
     target->Part.PacePercent = slow ? usual * factor : usual;
     target->Noise = TimerStart(&fleet->Loop, DrawSpan(slow ? burst : between, random),
-                               [=]() { ChangePace(fleet, target, share, factor, burst, random); });
+                               [=]() { ChangeSpeed(fleet, target, share, factor, burst, random); });
 }
 
 void FleetAddNoise(Fleet* fleet, double share, int factor, TimeUs burst, Random* random)
@@ -236,7 +236,7 @@
     for (const auto& target : fleet->Targets)
     {
         FleetTarget* part = target.get();
-        part->Noise = TimerStart(&fleet->Loop, DrawSpan(burst, random), [=]() { ChangePace(fleet, part, share, factor, burst, random); });
+        part->Noise = TimerStart(&fleet->Loop, DrawSpan(burst, random), [=]() { ChangeSpeed(fleet, part, share, factor, burst, random); });
     }
 }
 
@@ -247,7 +247,7 @@
 namespace
 {
 
-// A load that is being played.
+// State of a running load generator.
 struct LoadRun
 {
     Fleet* Owner = nullptr;
@@ -270,7 +270,7 @@
 {
     if (answer.End == ClientEnd_NotConnected && entry + 1 < index + run->Entries.size())
     {
-        SendTo(run, index, entry + 1, planned); // Nothing was sent: as the balancer does, to the next one.
+        SendTo(run, index, entry + 1, planned); // Nothing was sent, so the request can go to the next instance.
         return;
     }
     LoadRecord& record = run->Records[index];
@@ -285,7 +285,7 @@
 
 static void SendTo(LoadRun* run, size_t index, size_t entry, TimeUs planned)
 {
-    constexpr TimeUs patience = 10 * UsPerSecond;
+    constexpr TimeUs timeout = 10 * UsPerSecond;
     const LoadRecord& record = run->Records[index];
     const LoadKind& what = run->Kinds[record.Kind];
     ClientRequest request;
@@ -294,7 +294,7 @@
     request.Target = fmt::format("/{}/{}", what.Row, index);
     request.Headers = {{"Host", "bench.example"}, {"X-Request-Id", record.Id}, {"X-Deadline-Ms", std::to_string(what.DeadlineMs)}};
     request.HasBody = what.Method == "POST";
-    request.TimeoutUs = patience;
+    request.TimeoutUs = timeout;
     ClientSend(&run->Owner->Calls, std::move(request),
                [run, index, entry, planned](const ClientAnswer& answer) { OnAnswered(run, index, entry, planned, answer); });
 }
@@ -315,7 +315,7 @@
     return static_cast<TimeUs>(seconds * static_cast<double>(UsPerSecond));
 }
 
-// Sends all that is due and sleeps until the next arrival.
+// Sends all requests that are due and sets the timer for the next arrival.
 static void SendDue(LoadRun* run)
 {
     const TimeUs now = NowUs();
@@ -332,8 +332,8 @@
     run->Next = next < run->EndUs ? TimerStart(&run->Owner->Loop, next - now, [run]() { SendDue(run); }) : nullptr;
 }
 
-std::vector<LoadRecord> FleetPlayLoad(Fleet* fleet, const std::vector<std::string>& entries, const std::vector<LoadKind>& kinds,
-                                      TimeUs length, uint64_t seed)
+std::vector<LoadRecord> FleetRunLoad(Fleet* fleet, const std::vector<std::string>& entries, const std::vector<LoadKind>& kinds,
+                                     TimeUs length, uint64_t seed)
 {
     constexpr TimeUs last_answers = 12 * UsPerSecond;
     LoadRun run;
