--- a/tests/quota_load_test.cpp
+++ b/tests/quota_load_test.cpp
@@ -1,8 +1,7 @@
-// quota_load_test.cpp: customers' quotas over fleets of 3 to 587 instances, in virtual time: no window beyond what is allowed, whatever is
-// cut off, lost or started, and nobody below its quota refused.
+// quota_load_test.cpp: customers' quotas over fleets of 3 to 587 instances, in virtual time.
 //
-// The loads are those of a gateway with 79 customers, a few of them large, whose quotas are 1.6 times their usual rate, with as many
-// requests on top; one of them sends 7.5 times its usual.
+// Guards against a customer that exceeds its quota in some window, also during partitions, message loss and restarts, and against
+// customers below their quota that are refused.
 
 #include "quota_fleet.h"
 
@@ -11,13 +10,13 @@
 namespace Winchlink
 {
 
-static constexpr double QuotaShare = 1.6; // Of the usual rate.
+static constexpr double QuotaShare = 1.6; // Quota as a multiple of the usual rate.
 static constexpr double HotFactor = 7.5;
 static constexpr double LargePerS = 47;  // Usual rate of a large customer,
-static constexpr double MiddlePerS = 12; // a middle one,
-static constexpr double SmallPerS = 3;   // and a small one.
+static constexpr double MiddlePerS = 12; // of a medium one,
+static constexpr double SmallPerS = 3;   // and of a small one.
 
-// Four customers at their usual rates; in a fleet of `instances` that has been up for a while.
+// A fleet that has been up for a while, with four customers at their usual rates.
 static QuotaFleet UsualFleet(int instances, uint64_t seed)
 {
     QuotaFleet fleet(instances, seed);
@@ -62,26 +61,26 @@
 class QuotaLoadTest : public CPPUNIT_NS::TestFixture
 {
     CPPUNIT_TEST_SUITE(QuotaLoadTest);
-    CPPUNIT_TEST(WhoStaysBelowIsNeverRefused);
-    CPPUNIT_TEST(ACustomerThatSendsManyTimesItsUsualIsHeldToItsQuota);
-    CPPUNIT_TEST(ThoseCutOffAndTheRestStayWithinItTogether);
-    CPPUNIT_TEST(AnEvenCutStaysWithinIt);
-    CPPUNIT_TEST(AStartOfAllAtOnceStaysWithinIt);
-    CPPUNIT_TEST(CallersWhoWaitedForAStartStayWithinIt);
-    CPPUNIT_TEST(CallersWhoWaitedForAStartOfMany);
-    CPPUNIT_TEST(AStartServesThoseBelowTheirQuota);
-    CPPUNIT_TEST(AFirstContactThatIsLostChangesNothing);
-    CPPUNIT_TEST(HalfOfTheFleetKilledRefusesNobodyBelowItsQuota);
-    CPPUNIT_TEST(WhoAsksForALittleMoreIsHardlyRefused);
-    CPPUNIT_TEST(AQuotaThatIsLoweredBindsOneWindowLater);
-    CPPUNIT_TEST(CallersThatMoveAreServedInFull);
-    CPPUNIT_TEST(WithoutReportsItIsPassed);
-    CPPUNIT_TEST(AnyTroublesStayWithinIt);
-    CPPUNIT_TEST(ASmallCustomerWhileMoreThanAQuarterIsCutOff);
-    CPPUNIT_TEST(ASmallCustomerWhileMostAreAlone);
+    CPPUNIT_TEST(CustomersBelowTheirQuotaAreNeverRefused);
+    CPPUNIT_TEST(AnOverloadingCustomerIsLimitedToItsQuota);
+    CPPUNIT_TEST(IsolatedInstancesKeepQuotasWithTheRest);
+    CPPUNIT_TEST(AFleetSplitInHalvesKeepsQuotas);
+    CPPUNIT_TEST(ARestartOfAllInstancesKeepsQuotas);
+    CPPUNIT_TEST(ABurstAfterARestartOfAllKeepsQuotas);
+    CPPUNIT_TEST(ABurstAfterARestartOfALargeFleetKeepsQuotas);
+    CPPUNIT_TEST(ARestartServesCustomersBelowTheirQuota);
+    CPPUNIT_TEST(ALostSeedChangesNothing);
+    CPPUNIT_TEST(RestartsOfHalfTheFleetRefuseNobodyBelowItsQuota);
+    CPPUNIT_TEST(CustomersSlightlyAboveTheirQuotaAreHardlyRefused);
+    CPPUNIT_TEST(ALoweredQuotaIsKeptAfterOneWindow);
+    CPPUNIT_TEST(CallersThatMoveBetweenInstancesAreServedInFull);
+    CPPUNIT_TEST(WithoutReportsQuotasAreExceeded);
+    CPPUNIT_TEST(RandomFaultsKeepQuotas);
+    CPPUNIT_TEST(ASmallCustomerWhileAQuarterIsIsolated);
+    CPPUNIT_TEST(ASmallCustomerWhileMostAreIsolated);
     CPPUNIT_TEST_SUITE_END();
 
-    void WhoStaysBelowIsNeverRefused()
+    void CustomersBelowTheirQuotaAreNeverRefused()
     {
         for (const int instances : {3, 30, 117, 587})
         {
@@ -90,7 +89,7 @@
         }
     }
 
-    void ACustomerThatSendsManyTimesItsUsualIsHeldToItsQuota()
+    void AnOverloadingCustomerIsLimitedToItsQuota()
     {
         for (const int instances : {3, 30, 117, 587})
         {
@@ -99,7 +98,7 @@
             CheckServed(&fleet, 0.999, "before");
             QuotaFleetRun(&fleet, 12 * UsPerSecond);
             CheckBounds(fleet, fmt::format("{} instances", instances));
-            // What the quota allows is served: 1.6 of 7.5, less what callers that come at random moments make of it.
+            // Nearly all that the quota allows is served; 5 % are left for random arrivals.
             CheckServed(&fleet, 0.95 * QuotaShare / HotFactor, fmt::format("{} instances", instances));
             SetHot(&fleet, 1);
             QuotaFleetRun(&fleet, 3 * UsPerSecond);
@@ -109,7 +108,7 @@
         }
     }
 
-    void ThoseCutOffAndTheRestStayWithinItTogether()
+    void IsolatedInstancesKeepQuotasWithTheRest()
     {
         for (const int instances : {30, 117, 587})
         {
@@ -117,7 +116,7 @@
             int side = 1;
             for (size_t n = ContactsMost; n < fleet.Instances.size(); n += 6)
             {
-                fleet.Instances[n].Side = side++; // Each by itself.
+                fleet.Instances[n].Side = side++; // Each in a partition of its own.
             }
             SetHot(&fleet, HotFactor);
             QuotaFleetRun(&fleet, 10 * UsPerSecond);
@@ -125,14 +124,14 @@
         }
     }
 
-    void AnEvenCutStaysWithinIt()
+    void AFleetSplitInHalvesKeepsQuotas()
     {
         for (const int instances : {30, 117, 587})
         {
             QuotaFleet fleet = UsualFleet(instances, 4);
             for (size_t n = 0; n < fleet.Instances.size(); n++)
             {
-                fleet.Instances[n].Side = n % 2 == 0 ? 0 : 1; // Each has a first contact.
+                fleet.Instances[n].Side = n % 2 == 0 ? 0 : 1; // Each side has a seed.
             }
             SetHot(&fleet, HotFactor);
             QuotaFleetRun(&fleet, 20 * UsPerSecond);
@@ -140,7 +139,7 @@
         }
     }
 
-    void AStartOfAllAtOnceStaysWithinIt()
+    void ARestartOfAllInstancesKeepsQuotas()
     {
         for (const int instances : {3, 30, 117, 587})
         {
@@ -156,8 +155,8 @@
         }
     }
 
-    // All lose power while a customer is far beyond its quota, and its callers, who could reach nobody, come back at the same moment.
-    static void CheckCallersWhoWaited(int instances)
+    // All instances restart while a customer far exceeds its quota, and its waiting callers all send at the same moment.
+    static void CheckBurstAfterRestart(int instances)
     {
         QuotaFleet fleet = UsualFleet(instances, 11);
         SetHot(&fleet, HotFactor);
@@ -174,22 +173,22 @@
         CheckBounds(fleet, fmt::format("{} instances, callers that waited", instances));
     }
 
-    void CallersWhoWaitedForAStartStayWithinIt()
+    void ABurstAfterARestartOfAllKeepsQuotas()
     {
         for (const int instances : {30, 117})
         {
-            CheckCallersWhoWaited(instances);
+            CheckBurstAfterRestart(instances);
         }
     }
 
-    // After a start of all nobody knows how many they are, and each admits one request by itself.
-    void CallersWhoWaitedForAStartOfMany()
+    // After a restart of all instances none knows the size of the fleet, and each admits one request on its own.
+    void ABurstAfterARestartOfALargeFleetKeepsQuotas()
     {
-        CheckCallersWhoWaited(587);
+        CheckBurstAfterRestart(587);
     }
 
-    // Nothing is known of the window before a start of all: until that is over, a customer gets its quota in even parts.
-    void AStartServesThoseBelowTheirQuota()
+    // The counts of the window before the restart are lost: until a window has passed, each customer gets an even share of its quota.
+    void ARestartServesCustomersBelowTheirQuota()
     {
         QuotaFleet fleet = UsualFleet(117, 5);
         for (int n = 0; n < 117; n++)
@@ -199,13 +198,13 @@
         QuotaFleetRun(&fleet, 1500 * UsPerMs);
         for (QuotaFleetCustomer& asking : fleet.Asking)
         {
-            QuotaFleetServed(&asking); // Until the last instance is up and has heard of the others.
+            QuotaFleetServed(&asking); // Resets the counters once all instances are up and connected.
         }
         QuotaFleetRun(&fleet, 8 * UsPerSecond);
         CheckServed(&fleet, 0.97, "all started at once");
     }
 
-    void AFirstContactThatIsLostChangesNothing()
+    void ALostSeedChangesNothing()
     {
         QuotaFleet fleet = UsualFleet(117, 6);
         CheckServed(&fleet, 0.999, "before");
@@ -218,7 +217,7 @@
         CheckBounds(fleet, "a first contact lost");
     }
 
-    void HalfOfTheFleetKilledRefusesNobodyBelowItsQuota()
+    void RestartsOfHalfTheFleetRefuseNobodyBelowItsQuota()
     {
         QuotaFleet fleet = UsualFleet(117, 7);
         CheckServed(&fleet, 0.999, "before");
@@ -231,8 +230,8 @@
         CheckBounds(fleet, "half killed");
     }
 
-    // What a quota may be passed by is there to be used: a customer that asks for a quarter more than its quota gets nearly all of it.
-    void WhoAsksForALittleMoreIsHardlyRefused()
+    // A customer slightly above its quota is served nearly in full, within the tolerance.
+    void CustomersSlightlyAboveTheirQuotaAreHardlyRefused()
     {
         QuotaFleet fleet = UsualFleet(117, 12);
         SetHot(&fleet, QuotaShare);
@@ -248,7 +247,7 @@
         CheckServed(&fleet, 0.9, "a fifth more");
     }
 
-    void AQuotaThatIsLoweredBindsOneWindowLater()
+    void ALoweredQuotaIsKeptAfterOneWindow()
     {
         QuotaFleet fleet = UsualFleet(117, 8);
         for (QuotaFleetCustomer& asking : fleet.Asking)
@@ -265,20 +264,20 @@
         CheckBounds(fleet, "lowered");
     }
 
-    void CallersThatMoveAreServedInFull()
+    void CallersThatMoveBetweenInstancesAreServedInFull()
     {
         QuotaFleet fleet = UsualFleet(117, 9);
         CheckServed(&fleet, 0.999, "before");
         for (size_t n = 0; n < fleet.Pull.size(); n++)
         {
-            fleet.Pull[n] = n % 3 == 0 ? fleet.Pull[n] : 0; // All come to a third of the instances.
+            fleet.Pull[n] = n % 3 == 0 ? fleet.Pull[n] : 0; // All requests go to a third of the instances.
         }
         QuotaFleetRun(&fleet, 6 * UsPerSecond);
         CheckServed(&fleet, 0.999, "moved");
     }
 
-    // Planted: no report arrives and instances take themselves for the fleet. The bounds must be seen to break.
-    void WithoutReportsItIsPassed()
+    // Injected fault: no report arrives and each instance decides as if it were the whole fleet. The bound must be exceeded.
+    void WithoutReportsQuotasAreExceeded()
     {
         QuotaFleet fleet(117, 10);
         fleet.Lost = 1;
@@ -297,7 +296,7 @@
         const auto count = static_cast<int64_t>(fleet->Instances.size());
         switch (dice->Between(0, 4))
         {
-        case 0: // Some are cut off, each by itself, or together.
+        case 0: // Partitions some instances, alone or together.
         {
             const bool together = dice->OneIn(2);
             for (int64_t n = dice->Between(count / 10, count / 3); n > 0; n--)
@@ -307,13 +306,13 @@
             }
             break;
         }
-        case 1: // Cuts heal.
+        case 1: // Heals all partitions.
             for (QuotaFleetInstance& instance : fleet->Instances)
             {
                 instance.Side = 0;
             }
             break;
-        case 2: // Some are killed.
+        case 2: // Restarts some instances.
             for (int64_t n = dice->Between(1, count / 2); n > 0; n--)
             {
                 QuotaFleetRestart(fleet, static_cast<int>(dice->Between(0, count)), dice->Between(0, 3) * UsPerSecond);
@@ -325,7 +324,7 @@
         }
     }
 
-    // A fleet after a series of troubles that the seed decides.
+    // A fleet after a random series of faults.
     static QuotaFleet AfterTroubles(Dice* dice)
     {
         QuotaFleet fleet = UsualFleet(static_cast<int>(dice->Between(12, 130)), dice->Rng());
@@ -337,7 +336,7 @@
         return fleet;
     }
 
-    void AnyTroublesStayWithinIt()
+    void RandomFaultsKeepQuotas()
     {
         CHECK_COSTLY_PROPERTY(10, "no window beyond what a customer may run, whatever is cut off or killed",
                               []()
@@ -353,14 +352,14 @@
                               });
     }
 
-    // Found by the test above with another seed: several cuts, after which over a quarter of 72 instances is alone, each by itself.
-    void ASmallCustomerWhileMoreThanAQuarterIsCutOff()
+    // A failure that the property above found: over a quarter of 72 instances partitioned, each alone.
+    void ASmallCustomerWhileAQuarterIsIsolated()
     {
         Dice dice(762296);
         CheckBounds(AfterTroubles(&dice), "several cuts");
     }
 
-    void ASmallCustomerWhileMostAreAlone()
+    void ASmallCustomerWhileMostAreIsolated()
     {
         Dice dice(582005223620258400);
         CheckBounds(AfterTroubles(&dice), "several cuts, 66 instances");
