--- a/tests/target_limit_load_test.cpp
+++ b/tests/target_limit_load_test.cpp
@@ -1,8 +1,7 @@
-// target_limit_load_test.cpp: limits that targets name, kept over fleets of 3 to 587 instances, in virtual time: no window beyond what is
-// allowed, and what the target takes is used.
+// target_limit_load_test.cpp: limits that targets name, over fleets of 3 to 587 instances, in virtual time.
 //
-// The loads are those of a target that would get 3 to 30 times what it takes, as it does among ten others of which none has named a limit,
-// with callers that come three times as often to some instances as to others.
+// Guards against a fleet that exceeds a target's limit in some window, or leaves much of the limit unused, also during partitions, message
+// loss and restarts.
 
 #include "quota_fleet.h"
 
@@ -11,7 +10,7 @@
 namespace Winchlink
 {
 
-static constexpr double UsedLeast = 0.8; // Of a limit, while more is asked: it is room to serve.
+static constexpr double UsedLeast = 0.8; // Share of the limit that must be used while more is requested.
 
 static void CheckBounds(const QuotaFleet& fleet, const std::string& what)
 {
@@ -23,7 +22,7 @@
     }
 }
 
-// Plays the time; each target must have got most of what it takes.
+// Runs the fleet for `time` and checks that each target got at least UsedLeast of its limit.
 static void CheckUsed(QuotaFleet* fleet, TimeUs time, const std::string& what)
 {
     for (QuotaFleetCustomer& asking : fleet->Asking)
@@ -39,7 +38,7 @@
     }
 }
 
-// A fleet in which the target has named its limit for a while.
+// A fleet with one target that has named its limit for 8 s.
 static QuotaFleet LimitedFleet(int instances, double limit, double asked, uint64_t seed)
 {
     QuotaFleet fleet = TargetFleet(instances, seed);
@@ -63,24 +62,24 @@
     CPPUNIT_TEST_SUITE(TargetLimitLoadTest);
     CPPUNIT_TEST(ALimitIsKeptAndUsed);
     CPPUNIT_TEST(ASmallLimitIsUsedByManyInstances);
-    CPPUNIT_TEST(EachByItselfPassesIt);
-    CPPUNIT_TEST(ThoseCutOffAndTheRestKeepItTogether);
-    CPPUNIT_TEST(AStartOfAllKeepsIt);
-    CPPUNIT_TEST(InstancesThatStartKeepIt);
-    CPPUNIT_TEST(APausedInstanceKeepsIt);
-    CPPUNIT_TEST(ALimitThatFallsIsKept);
-    CPPUNIT_TEST(ALimitThatRisesIsUsed);
+    CPPUNIT_TEST(WithoutMessagesLimitsAreExceeded);
+    CPPUNIT_TEST(IsolatedInstancesKeepLimitsWithTheRest);
+    CPPUNIT_TEST(ARestartOfAllInstancesKeepsLimits);
+    CPPUNIT_TEST(RestartedInstancesKeepLimits);
+    CPPUNIT_TEST(PausedInstancesKeepLimits);
+    CPPUNIT_TEST(ALoweredLimitIsKept);
+    CPPUNIT_TEST(ARaisedLimitIsUsed);
     CPPUNIT_TEST(ALimitThatIsNoLongerNamedIsGone);
-    CPPUNIT_TEST(ATargetThatTakesNothingIsTriedNowAndThen);
-    CPPUNIT_TEST(ManyTargetsMayNameOneAtOnce);
-    CPPUNIT_TEST(RequestsThatComeAllOfASuddenKeepIt);
+    CPPUNIT_TEST(ATargetWithALimitOfZeroIsTriedRarely);
+    CPPUNIT_TEST(ManyTargetsMayNameLimitsAtOnce);
+    CPPUNIT_TEST(ASuddenLoadKeepsLimits);
     CPPUNIT_TEST(AnyTroublesKeepIt);
-    CPPUNIT_TEST(AJumpOfWhatIsAskedAmongCuts);
-    CPPUNIT_TEST(ASeriesOfCutsAndKills);
-    CPPUNIT_TEST(AJumpOfWhatIsAskedAmongKills);
+    CPPUNIT_TEST(ALoadJumpDuringPartitions);
+    CPPUNIT_TEST(PartitionsAndRestartsInSeries);
+    CPPUNIT_TEST(ALoadJumpDuringRestarts);
     CPPUNIT_TEST_SUITE_END();
 
-    static void CheckKeptAndUsed(int instances, double limit, double times)
+    static void CheckLimitKeptAndUsed(int instances, double limit, double times)
     {
         const std::string what = fmt::format("{} instances, {} a second, {} times as many asked", instances, limit, times);
         QuotaFleet fleet = LimitedFleet(instances, limit, limit * times, 1);
@@ -94,23 +93,23 @@
         {
             for (const double times : {3.0, 30.0})
             {
-                CheckKeptAndUsed(3, limit, times);
-                CheckKeptAndUsed(13, limit, times);
-                CheckKeptAndUsed(117, limit, times);
+                CheckLimitKeptAndUsed(3, limit, times);
+                CheckLimitKeptAndUsed(13, limit, times);
+                CheckLimitKeptAndUsed(117, limit, times);
             }
         }
-        CheckKeptAndUsed(587, 40, 30);
+        CheckLimitKeptAndUsed(587, 40, 30);
     }
 
-    // Each of so many instances asks for less than one request in a minute.
+    // Each of so many instances gets only a few requests a minute.
     void ASmallLimitIsUsedByManyInstances()
     {
-        CheckKeptAndUsed(587, 2, 3);
-        CheckKeptAndUsed(587, 8, 3);
+        CheckLimitKeptAndUsed(587, 2, 3);
+        CheckLimitKeptAndUsed(587, 8, 3);
     }
 
-    // Planted: the bounds must be seen to break.
-    void EachByItselfPassesIt()
+    // Injected fault: instances exchange nothing and each decides as if it were the whole fleet. The bound must be exceeded.
+    void WithoutMessagesLimitsAreExceeded()
     {
         QuotaFleet fleet = TargetFleet(13, 2);
         fleet.Alone = true;
@@ -123,7 +122,7 @@
         CPPUNIT_ASSERT(static_cast<double>(fleet.Asking[0].MostInWindow) > QuotaFleetBound(fleet, fleet.Asking[0]));
     }
 
-    void ThoseCutOffAndTheRestKeepItTogether()
+    void IsolatedInstancesKeepLimitsWithTheRest()
     {
         for (const int instances : {13, 117, 587})
         {
@@ -137,7 +136,7 @@
         }
     }
 
-    void AStartOfAllKeepsIt()
+    void ARestartOfAllInstancesKeepsLimits()
     {
         for (const int instances : {3, 13, 117, 587})
         {
@@ -147,13 +146,13 @@
                 QuotaFleetRestart(&fleet, n, std::uniform_int_distribution<TimeUs>(0, UsPerSecond)(fleet.Rng));
             }
             QuotaFleetRun(&fleet, UsPerSecond);
-            QuotaFleetName(&fleet, 0, 2.0); // Nobody knows it any more: the time to hear of it begins anew.
+            QuotaFleetName(&fleet, 0, 2.0); // No instance knows the limit now: the time to learn it starts again.
             QuotaFleetRun(&fleet, 10 * UsPerSecond);
             CheckBounds(fleet, fmt::format("{} instances, all started at once", instances));
         }
     }
 
-    void InstancesThatStartKeepIt()
+    void RestartedInstancesKeepLimits()
     {
         for (const int instances : {13, 117, 587})
         {
@@ -168,8 +167,8 @@
         }
     }
 
-    // It goes on with decisions of before: these are believed for a moment only.
-    void APausedInstanceKeepsIt()
+    // A paused instance continues with old decisions, which must expire soon.
+    void PausedInstancesKeepLimits()
     {
         QuotaFleet fleet = LimitedFleet(13, 2, 60, 6);
         for (int n = 0; n < 13; n += 2)
@@ -186,7 +185,7 @@
         CheckUsed(&fleet, 20 * UsPerSecond, "after a pause");
     }
 
-    void ALimitThatFallsIsKept()
+    void ALoweredLimitIsKept()
     {
         for (const int instances : {13, 117})
         {
@@ -197,7 +196,7 @@
         }
     }
 
-    void ALimitThatRisesIsUsed()
+    void ARaisedLimitIsUsed()
     {
         QuotaFleet fleet = LimitedFleet(13, 2, 60, 8);
         QuotaFleetName(&fleet, 0, 20.0);
@@ -216,7 +215,7 @@
         CPPUNIT_ASSERT_EQUAL(1.0, QuotaFleetServed(&fleet.Asking[0]));
     }
 
-    void ATargetThatTakesNothingIsTriedNowAndThen()
+    void ATargetWithALimitOfZeroIsTriedRarely()
     {
         QuotaFleet fleet = LimitedFleet(13, 0, 60, 10);
         QuotaFleetRun(&fleet, 240 * UsPerSecond);
@@ -227,7 +226,7 @@
         CPPUNIT_ASSERT(fleet.Asking[0].Admitted < 12);
     }
 
-    void ManyTargetsMayNameOneAtOnce()
+    void ManyTargetsMayNameLimitsAtOnce()
     {
         QuotaFleet fleet = TargetFleet(18, 11);
         QuotaFleetRun(&fleet, 6 * UsPerSecond);
@@ -240,7 +239,7 @@
         CheckBounds(fleet, "120 targets");
     }
 
-    void RequestsThatComeAllOfASuddenKeepIt()
+    void ASuddenLoadKeepsLimits()
     {
         for (const int instances : {3, 13, 117, 587})
         {
@@ -278,7 +277,7 @@
         }
     }
 
-    // A fleet after a series of troubles that the seed decides.
+    // A fleet after a random series of faults.
     static QuotaFleet AfterTroubles(uint64_t seed)
     {
         Dice dice(seed);
@@ -293,20 +292,20 @@
         return fleet;
     }
 
-    // A seed of the test below: what is asked rises to ten times as much while nearly all of it is admitted.
-    void AJumpOfWhatIsAskedAmongCuts()
+    // Failures that RandomFaultsKeepLimits found. Here the request rate rises tenfold while nearly all requests are admitted.
+    void ALoadJumpDuringPartitions()
     {
         CheckBounds(AfterTroubles(2787982915), "several cuts, from 7 to 70 a second");
     }
 
-    // Another one: half of 78 instances alone, each by itself, after three cuts and three rounds of kills.
-    void ASeriesOfCutsAndKills()
+    // Half of 78 instances partitioned, each alone, after three partitions and three rounds of restarts.
+    void PartitionsAndRestartsInSeries()
     {
         CheckBounds(AfterTroubles(140), "cuts and kills in series");
     }
 
-    // Another one: what is asked rises to thirty times as much within a moment.
-    void AJumpOfWhatIsAskedAmongKills()
+    // The request rate rises thirtyfold at once.
+    void ALoadJumpDuringRestarts()
     {
         CheckBounds(AfterTroubles(164357734471), "kills, from 3 to 91 a second");
     }
