--- a/tests/quota_fleet.h
+++ b/tests/quota_fleet.h
@@ -1,8 +1,9 @@
-// quota_fleet.h: a fleet that keeps quotas, in virtual time: instances in a tree, three first contacts, customers that ask; or, in place of
-// customers, targets that name limits, of which an instance hears from the target itself or from other instances.
+// quota_fleet.h: model of a fleet that enforces quotas, in virtual time. Instances form a tree below up to three seeds; customers send
+// requests to them. A fleet may have targets with limits in place of customers; instances learn a limit from the target's answers or
+// from other instances.
 //
-// The decisions are the library's own (Quota in winchlink.h); what stands here is the carrying of messages, with delays, losses and cuts,
-// and the counting of what is admitted over all instances, which nobody in the fleet does.
+// Decisions are those of the library (Quota in winchlink.h). The model delivers the messages, with delays, losses and partitions, and
+// counts the requests that all instances admit.
 
 #pragma once
 
@@ -11,22 +12,22 @@
 namespace Winchlink
 {
 
-inline constexpr int ContactsMost = 3; // First contacts.
+inline constexpr int ContactsMost = 3; // Maximum number of seeds.
 inline constexpr int FollowersMost = 28;
 
 struct QuotaFleetInstance
 {
     Quota Known;
-    int Parent = -1;        // Whom it follows; none: a first contact.
-    int Side = 0;           // Instances on different sides don't reach each other.
-    TimeUs DownUntilUs = 0; // It is down, or without power, until then; it knows nothing afterwards.
-    TimeUs NextUs = 0;      // Its next report.
-    bool Paused = false;    // It does nothing, and goes on later with what it knew.
+    int Parent = -1;        // Source that it follows; -1 for a seed.
+    int Side = 0;           // Partition; instances of different partitions can't reach each other.
+    TimeUs DownUntilUs = 0; // Until then it is down; it restarts without state.
+    TimeUs NextUs = 0;      // Time of the next report.
+    bool Paused = false;    // Does nothing, but keeps its state.
 };
 
 struct QuotaFleetMessage
 {
-    TimeUs AtUs = 0; // When it arrives.
+    TimeUs AtUs = 0; // Arrival.
     int From = 0;
     int To = 0;
     bool Contact = false;
@@ -34,17 +35,17 @@
     std::optional<QuotaAnswer> Answer;
 };
 
-// A customer and what it asks for; or a target, and what would be sent to it without a limit.
+// A customer and its requests; or a target, and the requests that it would get without a limit.
 struct QuotaFleetCustomer
 {
-    size_t Index = 0; // In Customers.
+    size_t Index = 0; // Index in QuotaFleet::All.
     bool IsTarget = false;
-    bool Names = false;      // A target: its answers name the limit now.
-    TimeUs NamedUs = 0;      // When it began to.
-    double AskedPerS = 0;    // Requests a second of all its callers.
-    double Backlog = 0;      // Of a request: so much is due.
-    std::deque<TimeUs> Runs; // Admitted in the last window, over all instances.
-    size_t Asked = 0;        // Counters.
+    bool Names = false;      // Of a target: its answers name the limit.
+    TimeUs NamedUs = 0;      // Since when they name the present limit, or none.
+    double AskedPerS = 0;    // Request rate over all its callers.
+    double Backlog = 0;      // Fraction of a request that is due.
+    std::deque<TimeUs> Runs; // Times of the requests admitted in the last window, over all instances.
+    size_t Asked = 0;        // Requests since the last call of QuotaFleetServed.
     size_t Admitted = 0;
     size_t MostInWindow = 0;
 };
@@ -54,43 +55,43 @@
     Customers All;
     std::vector<QuotaFleetCustomer> Asking;
     std::vector<QuotaFleetInstance> Instances;
-    std::deque<QuotaFleetMessage> Messages; // By arrival.
+    std::deque<QuotaFleetMessage> Messages; // In order of arrival.
     Random Rng;
     TimeUs Now = UsPerSecond;
-    double Lost = 0.01; // Datagrams.
+    double Lost = 0.01; // Probability that a datagram is lost.
     TimeUs DelayUs = 2 * UsPerMs;
-    double Uneven = 1;        // Each instance gets up to so many times as much as another.
-    std::vector<double> Pull; // How much of the requests each instance gets.
+    double Uneven = 1;        // Highest ratio between the request rates of two instances.
+    std::vector<double> Pull; // Relative request rate of each instance; drawn if empty.
     uint64_t DatagramsSent = 0;
     QuotaConfig Config;
-    bool OfTargets = false; // All in Asking are targets: nothing is told before a limit is known.
-    bool Alone = false;     // Planted: instances tell each other nothing and take themselves for the fleet.
+    bool OfTargets = false; // Asking holds targets: instances send nothing before they know a limit.
+    bool Alone = false;     // Injected fault: instances send nothing and each decides as if it were the whole fleet.
 
     QuotaFleet(int instances, uint64_t seed, const QuotaConfig& config = QuotaConfig());
 };
 
-// A fleet that keeps limits of targets.
+// A fleet that enforces limits of targets.
 QuotaFleet TargetFleet(int instances, uint64_t seed);
 
-// A target that takes `limit` requests a second and would get `asked`. It names its limit from now on. Returns its place in Asking.
+// Adds a target that names a limit of `limit` requests a second and would get `asked`. Returns its index in Asking.
 size_t QuotaFleetAddTarget(QuotaFleet* fleet, double limit, double asked);
 
-// From now on the target names another limit, or none.
+// Changes the limit that the target names from now on; none if empty.
 void QuotaFleetName(QuotaFleet* fleet, size_t target, std::optional<double> limit);
 
-// A customer that may make `rate` requests a second, with as many on top, and asks for `asked`. Returns its place in Asking.
+// Adds a customer with a quota of `rate` requests a second and a burst of the same size, that sends `asked`. Returns its index in Asking.
 size_t QuotaFleetAdd(QuotaFleet* fleet, double rate, double asked);
 
-// Plays the time.
+// Advances the virtual time by `time`.
 void QuotaFleetRun(QuotaFleet* fleet, TimeUs time);
 
-// The instance starts anew after `down`.
+// Restarts the instance without state; it is down for `down`.
 void QuotaFleetRestart(QuotaFleet* fleet, int instance, TimeUs down);
 
-// Requests that may run in any window.
+// Maximum number of requests that may be admitted in any window.
 double QuotaFleetBound(const QuotaFleet& fleet, const QuotaFleetCustomer& asking);
 
-// Share of its requests that was admitted since the last call.
+// Share of its requests that were admitted since the last call; resets the counters.
 double QuotaFleetServed(QuotaFleetCustomer* asking);
 
 } // namespace Winchlink
