--- a/tests/quota_fleet.cpp
+++ b/tests/quota_fleet.cpp
@@ -1,11 +1,11 @@
-// quota_fleet.cpp: a fleet that keeps customers' quotas, in virtual time.
+// quota_fleet.cpp: model of a fleet that enforces quotas, in virtual time. See quota_fleet.h.
 
 #include "quota_fleet.h"
 
 namespace Winchlink
 {
 
-static constexpr TimeUs TickUs = 10 * UsPerMs; // Steps of the model.
+static constexpr TimeUs TickUs = 10 * UsPerMs; // Time step of the model.
 
 static std::string NameOf(int instance)
 {
@@ -17,7 +17,7 @@
     return instance < ContactsMost;
 }
 
-// The tree as the relay makes it: first contacts, then levels of followers.
+// The tree that the relay builds: seeds, then levels of followers.
 static int ParentOf(int instance)
 {
     const int first_level = ContactsMost + ContactsMost * FollowersMost;
@@ -98,7 +98,7 @@
     return one.DownUntilUs <= fleet.Now && !one.Paused;
 }
 
-// Whether the instance has anything to tell others.
+// Whether the instance sends reports and answers.
 static bool Tells(const QuotaFleet& fleet, const Quota& known)
 {
     return !fleet.Alone && (!fleet.OfTargets || !known.Named.empty());
@@ -158,7 +158,7 @@
     }
 }
 
-// A follower whose source is down or cut off takes another one that it reaches: a first contact, if there is one.
+// A follower that can't reach its source follows a seed that it reaches, if any.
 static void FindSource(QuotaFleet* fleet, int instance)
 {
     QuotaFleetInstance& one = fleet->Instances[static_cast<size_t>(instance)];
@@ -186,7 +186,7 @@
     }
 }
 
-// Those that follow it and have nothing to report hear of limits all the same.
+// Sends the limits to followers that have sent no report.
 static void TellOthers(QuotaFleet* fleet, int from)
 {
     const Quota& known = fleet->Instances[static_cast<size_t>(from)].Known;
@@ -261,7 +261,7 @@
     return drawn;
 }
 
-// Whether the instance sends a request to the target; it hears at once what the answer says.
+// Whether the instance admits a request to the target. The target's answer arrives at once.
 static bool SendToTarget(QuotaFleet* fleet, QuotaFleetInstance* one, const QuotaFleetCustomer& asking)
 {
     const Customer& target = fleet->All.List[asking.Index];
@@ -281,8 +281,8 @@
 
 static void Ask(QuotaFleet* fleet, QuotaFleetCustomer* asking)
 {
-    constexpr TimeUs spread_us = UsPerSecond;    // Of a word that is new: what is sent meanwhile does not count,
-    constexpr TimeUs named_us = 3 * UsPerSecond; // and windows do that end later than this.
+    constexpr TimeUs spread_us = UsPerSecond;    // Time a new limit needs to reach all instances; requests before are not counted.
+    constexpr TimeUs named_us = 3 * UsPerSecond; // Windows that end earlier than this after a change are not counted.
     asking->Asked++;
     if (!Send(fleet, &fleet->Instances[static_cast<size_t>(DrawInstance(fleet))], asking))
     {
