--- a/tests/target_limit_load_test.cpp
+++ b/tests/target_limit_load_test.cpp
@@ -73,7 +73,7 @@
     CPPUNIT_TEST(ATargetWithALimitOfZeroIsTriedRarely);
     CPPUNIT_TEST(ManyTargetsMayNameLimitsAtOnce);
     CPPUNIT_TEST(ASuddenLoadKeepsLimits);
-    CPPUNIT_TEST(AnyTroublesKeepIt);
+    CPPUNIT_TEST(RandomFaultsKeepLimits);
     CPPUNIT_TEST(ALoadJumpDuringPartitions);
     CPPUNIT_TEST(PartitionsAndRestartsInSeries);
     CPPUNIT_TEST(ALoadJumpDuringRestarts);
@@ -251,7 +251,7 @@
         }
     }
 
-    static void Trouble(QuotaFleet* fleet, Dice* dice)
+    static void InjectFault(QuotaFleet* fleet, Dice* dice)
     {
         const auto count = static_cast<int64_t>(fleet->Instances.size());
         switch (dice->Between(0, 4))
@@ -278,7 +278,7 @@
     }
 
     // A fleet after a random series of faults.
-    static QuotaFleet AfterTroubles(uint64_t seed)
+    static QuotaFleet FleetAfterFaults(uint64_t seed)
     {
         Dice dice(seed);
         const auto instances = static_cast<int>(dice.Between(12, 130));
@@ -286,37 +286,37 @@
         QuotaFleet fleet = LimitedFleet(instances, limit, 60, dice.Rng());
         for (int64_t n = dice.Between(2, 8); n > 0; n--)
         {
-            Trouble(&fleet, &dice);
+            InjectFault(&fleet, &dice);
             QuotaFleetRun(&fleet, dice.Between(200, 3000) * UsPerMs);
         }
         return fleet;
     }
 
-    // Failures that RandomFaultsKeepLimits found. Here the request rate rises tenfold while nearly all requests are admitted.
+    // Failures that the property below found. Here the request rate rises tenfold while nearly all requests are admitted.
     void ALoadJumpDuringPartitions()
     {
-        CheckBounds(AfterTroubles(2787982915), "several cuts, from 7 to 70 a second");
+        CheckBounds(FleetAfterFaults(2787982915), "several cuts, from 7 to 70 a second");
     }
 
     // Half of 78 instances partitioned, each alone, after three partitions and three rounds of restarts.
     void PartitionsAndRestartsInSeries()
     {
-        CheckBounds(AfterTroubles(140), "cuts and kills in series");
+        CheckBounds(FleetAfterFaults(140), "cuts and kills in series");
     }
 
     // The request rate rises thirtyfold at once.
     void ALoadJumpDuringRestarts()
     {
-        CheckBounds(AfterTroubles(164357734471), "kills, from 3 to 91 a second");
+        CheckBounds(FleetAfterFaults(164357734471), "kills, from 3 to 91 a second");
     }
 
-    void AnyTroublesKeepIt()
+    void RandomFaultsKeepLimits()
     {
         CHECK_COSTLY_PROPERTY(10, "no window beyond what a target takes, whatever is cut off or killed",
                               []()
                               {
                                   const auto seed = *rc::gen::noShrink(rc::gen::arbitrary<uint64_t>());
-                                  const QuotaFleet fleet = AfterTroubles(seed);
+                                  const QuotaFleet fleet = FleetAfterFaults(seed);
                                   const QuotaFleetCustomer& asking = fleet.Asking[0];
                                   const double bound = QuotaFleetBound(fleet, asking);
                                   RC_LOG() << "seed " << seed << ": " << asking.MostInWindow << " of " << bound << "\n";
