--- a/tests/quota_load_test.cpp
+++ b/tests/quota_load_test.cpp
@@ -291,7 +291,7 @@
         CPPUNIT_ASSERT(static_cast<double>(asking.MostInWindow) > QuotaFleetBound(fleet, asking));
     }
 
-    static void Trouble(QuotaFleet* fleet, Dice* dice)
+    static void InjectFault(QuotaFleet* fleet, Dice* dice)
     {
         const auto count = static_cast<int64_t>(fleet->Instances.size());
         switch (dice->Between(0, 4))
@@ -325,12 +325,12 @@
     }
 
     // A fleet after a random series of faults.
-    static QuotaFleet AfterTroubles(Dice* dice)
+    static QuotaFleet FleetAfterFaults(Dice* dice)
     {
         QuotaFleet fleet = UsualFleet(static_cast<int>(dice->Between(12, 130)), dice->Rng());
         for (int64_t n = dice->Between(2, 8); n > 0; n--)
         {
-            Trouble(&fleet, dice);
+            InjectFault(&fleet, dice);
             QuotaFleetRun(&fleet, dice->Between(200, 3000) * UsPerMs);
         }
         return fleet;
@@ -342,7 +342,7 @@
                               []()
                               {
                                   Dice dice;
-                                  const QuotaFleet fleet = AfterTroubles(&dice);
+                                  const QuotaFleet fleet = FleetAfterFaults(&dice);
                                   for (const QuotaFleetCustomer& asking : fleet.Asking)
                                   {
                                       const double bound = QuotaFleetBound(fleet, asking);
@@ -356,13 +356,13 @@
     void ASmallCustomerWhileAQuarterIsIsolated()
     {
         Dice dice(762296);
-        CheckBounds(AfterTroubles(&dice), "several cuts");
+        CheckBounds(FleetAfterFaults(&dice), "several cuts");
     }
 
     void ASmallCustomerWhileMostAreIsolated()
     {
         Dice dice(582005223620258400);
-        CheckBounds(AfterTroubles(&dice), "several cuts, 66 instances");
+        CheckBounds(FleetAfterFaults(&dice), "several cuts, 66 instances");
     }
 };
 
