--- a/tests/quota_fleet.cpp
+++ b/tests/quota_fleet.cpp
@@ -12,7 +12,7 @@
     return "i" + std::to_string(instance);
 }
 
-static bool IsContact(int instance)
+static bool IsSeed(int instance)
 {
     return instance < ContactsMost;
 }
@@ -21,19 +21,19 @@
 static int ParentOf(int instance)
 {
     const int first_level = ContactsMost + ContactsMost * FollowersMost;
-    if (IsContact(instance))
+    if (IsSeed(instance))
     {
         return -1;
     }
     return instance < first_level ? instance % ContactsMost : ContactsMost + (instance - first_level) / FollowersMost;
 }
 
-static void Begin(QuotaFleet* fleet, int instance)
+static void StartInstance(QuotaFleet* fleet, int instance)
 {
     QuotaFleetInstance& one = fleet->Instances[static_cast<size_t>(instance)];
     one.Known = Quota();
     one.Known.Config = fleet->Config;
-    one.Known.Decides = IsContact(instance) || fleet->Alone;
+    one.Known.Decides = IsSeed(instance) || fleet->Alone;
     one.Known.StartedUs = fleet->Now;
     one.Parent = ParentOf(instance);
     one.NextUs = fleet->Now + std::uniform_int_distribution<TimeUs>(0, TickUs)(fleet->Rng);
@@ -44,7 +44,7 @@
 {
     for (int n = 0; n < instances; n++)
     {
-        Begin(this, n);
+        StartInstance(this, n);
     }
 }
 
@@ -99,7 +99,7 @@
 }
 
 // Whether the instance sends reports and answers.
-static bool Tells(const QuotaFleet& fleet, const Quota& known)
+static bool SendsMessages(const QuotaFleet& fleet, const Quota& known)
 {
     return !fleet.Alone && (!fleet.OfTargets || !known.Named.empty());
 }
@@ -125,7 +125,7 @@
     }
 }
 
-static void TellFollowers(QuotaFleet* fleet, int from)
+static void AnswerFollowers(QuotaFleet* fleet, int from)
 {
     for (const auto& entry : fleet->Instances[static_cast<size_t>(from)].Known.Followers)
     {
@@ -145,7 +145,7 @@
 {
     const int parent = fleet->Instances[static_cast<size_t>(from)].Parent;
     const int contacts = std::min(ContactsMost, static_cast<int>(fleet->Instances.size()));
-    for (int contact = 0; IsContact(from) && contact < contacts; contact++)
+    for (int contact = 0; IsSeed(from) && contact < contacts; contact++)
     {
         if (contact != from)
         {
@@ -166,7 +166,7 @@
     {
         return other >= 0 && IsUp(*fleet, other) && fleet->Instances[static_cast<size_t>(other)].Side == one.Side;
     };
-    if (IsContact(instance) || reaches(one.Parent))
+    if (IsSeed(instance) || reaches(one.Parent))
     {
         return;
     }
@@ -182,12 +182,12 @@
     const bool moved = fleet->OfTargets ? QuotaDecideNamed(&known, fleet->Now) : QuotaDecide(&known, fleet->All, fleet->Now);
     if (moved)
     {
-        TellFollowers(fleet, instance);
+        AnswerFollowers(fleet, instance);
     }
 }
 
 // Sends the limits to followers that have sent no report.
-static void TellOthers(QuotaFleet* fleet, int from)
+static void AnswerOtherFollowers(QuotaFleet* fleet, int from)
 {
     const Quota& known = fleet->Instances[static_cast<size_t>(from)].Known;
     for (size_t n = 0; n < fleet->Instances.size(); n++)
@@ -203,7 +203,7 @@
 static void Report(QuotaFleet* fleet, int instance)
 {
     QuotaFleetInstance& one = fleet->Instances[static_cast<size_t>(instance)];
-    if (!IsUp(*fleet, instance) || fleet->Now < one.NextUs || !Tells(*fleet, one.Known))
+    if (!IsUp(*fleet, instance) || fleet->Now < one.NextUs || !SendsMessages(*fleet, one.Known))
     {
         return;
     }
@@ -213,7 +213,7 @@
     PostReports(fleet, instance);
     if (fleet->OfTargets)
     {
-        TellOthers(fleet, instance);
+        AnswerOtherFollowers(fleet, instance);
     }
 }
 
@@ -228,7 +228,7 @@
     {
         if (QuotaHeardAnswer(&known, *message.Answer, fleet->Now))
         {
-            TellFollowers(fleet, message.To);
+            AnswerFollowers(fleet, message.To);
         }
         return;
     }
@@ -279,7 +279,7 @@
     return asking->IsTarget ? SendToTarget(fleet, one, *asking) : QuotaTake(&one->Known, customer, fleet->Now, &fleet->Rng);
 }
 
-static void Ask(QuotaFleet* fleet, QuotaFleetCustomer* asking)
+static void SendRequest(QuotaFleet* fleet, QuotaFleetCustomer* asking)
 {
     constexpr TimeUs spread_us = UsPerSecond;    // Time a new limit needs to reach all instances; requests before are not counted.
     constexpr TimeUs named_us = 3 * UsPerSecond; // Windows that end earlier than this after a change are not counted.
@@ -304,7 +304,7 @@
     }
 }
 
-static void AskAll(QuotaFleet* fleet)
+static void SendRequests(QuotaFleet* fleet)
 {
     bool any_up = false;
     for (size_t n = 0; n < fleet->Instances.size() && !any_up; n++)
@@ -317,7 +317,7 @@
         const int count = any_up ? std::poisson_distribution<int>(due + 1e-9)(fleet->Rng) : 0;
         for (int n = 0; n < count; n++)
         {
-            Ask(fleet, &asking);
+            SendRequest(fleet, &asking);
         }
     }
 }
@@ -337,14 +337,14 @@
         {
             Report(fleet, static_cast<int>(n));
         }
-        AskAll(fleet);
+        SendRequests(fleet);
     }
 }
 
 void QuotaFleetRestart(QuotaFleet* fleet, int instance, TimeUs down)
 {
     QuotaFleetInstance& one = fleet->Instances[static_cast<size_t>(instance)];
-    Begin(fleet, instance);
+    StartInstance(fleet, instance);
     one.DownUntilUs = fleet->Now + down;
     one.Known.StartedUs = one.DownUntilUs;
     one.NextUs = one.DownUntilUs;
