--- a/tests/quota_fleet.cpp
+++ b/tests/quota_fleet.cpp
@@ -14,18 +14,18 @@
 
 static bool IsSeed(int instance)
 {
-    return instance < ContactsMost;
+    return instance < SeedCountMax;
 }
 
 // The tree that the relay builds: seeds, then levels of followers.
 static int ParentOf(int instance)
 {
-    const int first_level = ContactsMost + ContactsMost * FollowersMost;
+    const int first_level = SeedCountMax + SeedCountMax * FollowersMost;
     if (IsSeed(instance))
     {
         return -1;
     }
-    return instance < first_level ? instance % ContactsMost : ContactsMost + (instance - first_level) / FollowersMost;
+    return instance < first_level ? instance % SeedCountMax : SeedCountMax + (instance - first_level) / FollowersMost;
 }
 
 static void StartInstance(QuotaFleet* fleet, int instance)
@@ -78,11 +78,11 @@
 {
     const size_t target = Add(fleet, limit, 0, asked);
     fleet->Asking[target].IsTarget = true;
-    QuotaFleetName(fleet, target, limit);
+    QuotaFleetSetLimit(fleet, target, limit);
     return target;
 }
 
-void QuotaFleetName(QuotaFleet* fleet, size_t target, std::optional<double> limit)
+void QuotaFleetSetLimit(QuotaFleet* fleet, size_t target, std::optional<double> limit)
 {
     QuotaFleetCustomer& asking = fleet->Asking[target];
     asking.Names = limit.has_value();
@@ -144,7 +144,7 @@
 static void PostReports(QuotaFleet* fleet, int from)
 {
     const int parent = fleet->Instances[static_cast<size_t>(from)].Parent;
-    const int contacts = std::min(ContactsMost, static_cast<int>(fleet->Instances.size()));
+    const int contacts = std::min(SeedCountMax, static_cast<int>(fleet->Instances.size()));
     for (int contact = 0; IsSeed(from) && contact < contacts; contact++)
     {
         if (contact != from)
@@ -170,7 +170,7 @@
     {
         return;
     }
-    for (int contact = 0; contact < ContactsMost; contact++)
+    for (int contact = 0; contact < SeedCountMax; contact++)
     {
         one.Parent = reaches(contact) ? contact : one.Parent;
     }
--- a/tests/quota_fleet.h
+++ b/tests/quota_fleet.h
@@ -12,7 +12,7 @@
 namespace Winchlink
 {
 
-inline constexpr int ContactsMost = 3; // Maximum number of seeds.
+inline constexpr int SeedCountMax = 3; // Maximum number of seeds.
 inline constexpr int FollowersMost = 28;
 
 struct QuotaFleetInstance
@@ -77,7 +77,7 @@
 size_t QuotaFleetAddTarget(QuotaFleet* fleet, double limit, double asked);
 
 // Changes the limit that the target names from now on; none if empty.
-void QuotaFleetName(QuotaFleet* fleet, size_t target, std::optional<double> limit);
+void QuotaFleetSetLimit(QuotaFleet* fleet, size_t target, std::optional<double> limit);
 
 // Adds a customer with a quota of `rate` requests a second and a burst of the same size, that sends `asked`. Returns its index in Asking.
 size_t QuotaFleetAdd(QuotaFleet* fleet, double rate, double asked);
--- a/tests/quota_load_test.cpp
+++ b/tests/quota_load_test.cpp
@@ -114,7 +114,7 @@
         {
             QuotaFleet fleet = UsualFleet(instances, 3);
             int side = 1;
-            for (size_t n = ContactsMost; n < fleet.Instances.size(); n += 6)
+            for (size_t n = SeedCountMax; n < fleet.Instances.size(); n += 6)
             {
                 fleet.Instances[n].Side = side++; // Each in a partition of its own.
             }
--- a/tests/target_limit_load_test.cpp
+++ b/tests/target_limit_load_test.cpp
@@ -51,7 +51,7 @@
 
 static void SetSides(QuotaFleet* fleet, size_t one_in, bool together)
 {
-    for (size_t n = ContactsMost; n < fleet->Instances.size(); n += one_in)
+    for (size_t n = SeedCountMax; n < fleet->Instances.size(); n += one_in)
     {
         fleet->Instances[n].Side = together ? 1 : static_cast<int>(n);
     }
@@ -146,7 +146,7 @@
                 QuotaFleetRestart(&fleet, n, std::uniform_int_distribution<TimeUs>(0, UsPerSecond)(fleet.Rng));
             }
             QuotaFleetRun(&fleet, UsPerSecond);
-            QuotaFleetName(&fleet, 0, 2.0); // No instance knows the limit now: the time to learn it starts again.
+            QuotaFleetSetLimit(&fleet, 0, 2.0); // No instance knows the limit now: the time to learn it starts again.
             QuotaFleetRun(&fleet, 10 * UsPerSecond);
             CheckBounds(fleet, fmt::format("{} instances, all started at once", instances));
         }
@@ -190,7 +190,7 @@
         for (const int instances : {13, 117})
         {
             QuotaFleet fleet = LimitedFleet(instances, 20, 60, 7);
-            QuotaFleetName(&fleet, 0, 2.0);
+            QuotaFleetSetLimit(&fleet, 0, 2.0);
             QuotaFleetRun(&fleet, 10 * UsPerSecond);
             CheckBounds(fleet, fmt::format("{} instances, from 20 to 2 a second", instances));
         }
@@ -199,7 +199,7 @@
     void ARaisedLimitIsUsed()
     {
         QuotaFleet fleet = LimitedFleet(13, 2, 60, 8);
-        QuotaFleetName(&fleet, 0, 20.0);
+        QuotaFleetSetLimit(&fleet, 0, 20.0);
         QuotaFleetRun(&fleet, 3 * UsPerSecond);
         CheckUsed(&fleet, 10 * UsPerSecond, "from 2 to 20 a second");
         CheckBounds(fleet, "from 2 to 20 a second");
@@ -208,7 +208,7 @@
     void ALimitThatIsNoLongerNamedIsGone()
     {
         QuotaFleet fleet = LimitedFleet(13, 2, 30, 9);
-        QuotaFleetName(&fleet, 0, std::nullopt);
+        QuotaFleetSetLimit(&fleet, 0, std::nullopt);
         QuotaFleetRun(&fleet, 3 * UsPerSecond);
         QuotaFleetServed(&fleet.Asking[0]);
         QuotaFleetRun(&fleet, 5 * UsPerSecond);
