--- a/tests/quota_fleet.cpp
+++ b/tests/quota_fleet.cpp
@@ -12,7 +12,7 @@
     return "i" + std::to_string(instance);
 }
 
-static bool IsSeed(int instance)
+static bool IsSeedInstance(int instance)
 {
     return instance < SeedCountMax;
 }
@@ -21,7 +21,7 @@
 static int ParentOf(int instance)
 {
     const int first_level = SeedCountMax + SeedCountMax * FollowersMost;
-    if (IsSeed(instance))
+    if (IsSeedInstance(instance))
     {
         return -1;
     }
@@ -33,7 +33,7 @@
     QuotaFleetInstance& one = fleet->Instances[static_cast<size_t>(instance)];
     one.Known = Quota();
     one.Known.Config = fleet->Config;
-    one.Known.Decides = IsSeed(instance) || fleet->Alone;
+    one.Known.Decides = IsSeedInstance(instance) || fleet->Alone;
     one.Known.StartedUs = fleet->Now;
     one.Parent = ParentOf(instance);
     one.NextUs = fleet->Now + std::uniform_int_distribution<TimeUs>(0, TickUs)(fleet->Rng);
@@ -145,7 +145,7 @@
 {
     const int parent = fleet->Instances[static_cast<size_t>(from)].Parent;
     const int contacts = std::min(SeedCountMax, static_cast<int>(fleet->Instances.size()));
-    for (int contact = 0; IsSeed(from) && contact < contacts; contact++)
+    for (int contact = 0; IsSeedInstance(from) && contact < contacts; contact++)
     {
         if (contact != from)
         {
@@ -166,7 +166,7 @@
     {
         return other >= 0 && IsUp(*fleet, other) && fleet->Instances[static_cast<size_t>(other)].Side == one.Side;
     };
-    if (IsSeed(instance) || reaches(one.Parent))
+    if (IsSeedInstance(instance) || reaches(one.Parent))
     {
         return;
     }
