--- a/tests/quarantine_test.cpp
+++ b/tests/quarantine_test.cpp
@@ -1,11 +1,6 @@
-// quarantine_test.cpp: requests that end every target that begins to run them.
+// quarantine_test.cpp: quarantine of requests that crash the targets that run them.
 //
-// What was seen: on one day 75 targets of a service ended in waves, each wave within a second, and each wave again some three seconds after
-// new targets had come; one request was sent to targets 12 times later than three seconds after it had ended three, and 26 ended in all.
-// How it came about: the request ends each target that begins to run it. Its caller gets 502 and sends it again, with a new request id, to
-// whatever instance answers; tries come to instances of all data centres within 0.3 s. What caused it: for an instance each try is a new
-// request. Nobody remembers what ended under the former ones, and no instance hears of what others have seen. What proved that: with no
-// repeat at all two thirds of the sends would be left (12 of 18 lines with one attempt); and the first test here, where each try comes to
+// Guards against a request that crashes one target after the other because its caller sends it again, each time to another instance.
 // another instance and is sent to one target only.
 
 #include "clock.h"
@@ -23,24 +18,24 @@
 class QuarantineTest : public CPPUNIT_NS::TestFixture
 {
     CPPUNIT_TEST_SUITE(QuarantineTest);
-    CPPUNIT_TEST(ARequestThatEndsTargetsIsSentNoMore);
-    CPPUNIT_TEST(OneThatMayNotBeRepeatedIsHeldToo);
-    CPPUNIT_TEST(OtherCredentialsMakeAnotherRequest);
-    CPPUNIT_TEST(ALostAnswerIsNoEnd);
-    CPPUNIT_TEST(ATargetThatLeavesIsNoEnd);
-    CPPUNIT_TEST(ARequestThatIsAnsweredIsCleared);
-    CPPUNIT_TEST(StartsUnderTheSameIdCountEach);
-    CPPUNIT_TEST(InstancesThatWereApartLearnFromEachOther);
-    CPPUNIT_TEST(ItIsToldWithoutTheStore);
-    CPPUNIT_TEST(OperatorsSeeAndLiftIt);
-    CPPUNIT_TEST(NewsMergeInAnyOrder);
-    CPPUNIT_TEST(ItIsLetGoInTimeAndHeldForLongerTheNextTime);
+    CPPUNIT_TEST(ARequestThatCrashesTargetsIsQuarantined);
+    CPPUNIT_TEST(ARequestThatMayNotBeRetriedIsQuarantined);
+    CPPUNIT_TEST(RequestKeysDependOnCredentials);
+    CPPUNIT_TEST(ALostAnswerIsNoCrash);
+    CPPUNIT_TEST(ADrainingTargetIsNoCrash);
+    CPPUNIT_TEST(AnAnswerResetsTheCrashCount);
+    CPPUNIT_TEST(EachIncarnationCounts);
+    CPPUNIT_TEST(SeedsExchangeCrashesAfterAPartition);
+    CPPUNIT_TEST(CrashesAreExchangedWithoutTheStore);
+    CPPUNIT_TEST(OperatorsSeeAndLiftAQuarantine);
+    CPPUNIT_TEST(UpdatesMergeInAnyOrder);
+    CPPUNIT_TEST(AQuarantineEndsAndTheNextOneIsLonger);
     CPPUNIT_TEST(WhatIsRememberedIsBounded);
-    CPPUNIT_TEST(BytesThatAreNoNewsAreRefused);
+    CPPUNIT_TEST(MalformedBytesAreRefused);
     CPPUNIT_TEST_SUITE_END();
 
-    // Tries that come to five instances in turn: no instance meets three of the ends itself.
-    void ARequestThatEndsTargetsIsSentNoMore()
+    // Each attempt goes to another instance, so that none of them sees three of the crashes itself.
+    void ARequestThatCrashesTargetsIsQuarantined()
     {
         QuarantineFleet fleet(5, 12);
         for (size_t n = 0; n < 3; n++)
@@ -60,10 +55,10 @@
         const Gateway& started_since = fleet.AddInstance();
         CPPUNIT_ASSERT_EQUAL(503, fleet.AskEnding(started_since).Answer.Status);
         CPPUNIT_ASSERT_EQUAL(3, fleet.Ended());
-        CPPUNIT_ASSERT_EQUAL(200, RigAsk(&fleet.Parts, *fleet.Instances[0], RigCall()).Answer.Status); // Others are served.
+        CPPUNIT_ASSERT_EQUAL(200, RigAsk(&fleet.Parts, *fleet.Instances[0], RigCall()).Answer.Status); // Other requests are served.
     }
 
-    void OneThatMayNotBeRepeatedIsHeldToo()
+    void ARequestThatMayNotBeRetriedIsQuarantined()
     {
         QuarantineFleet fleet(2, 6);
         for (int n = 0; n < 3; n++)
@@ -74,11 +69,11 @@
         const RigAnswer answer = fleet.AskEnding(*fleet.Instances[1], "POST");
         CPPUNIT_ASSERT_EQUAL(503, answer.Answer.Status);
         CPPUNIT_ASSERT_EQUAL(std::to_string(Code_RequestHeld), *FindHeader(answer.Answer.Headers, HeaderCode));
-        CPPUNIT_ASSERT(std::stod(*FindHeader(answer.Answer.Headers, "Retry-After")) > 590); // Until it is let go.
-        CPPUNIT_ASSERT_EQUAL(0, RigRuns(fleet.Parts, answer.Id));                           // As the status says.
+        CPPUNIT_ASSERT(std::stod(*FindHeader(answer.Answer.Headers, "Retry-After")) > 590); // Until the quarantine ends.
+        CPPUNIT_ASSERT_EQUAL(0, RigRuns(fleet.Parts, answer.Id));
     }
 
-    void OtherCredentialsMakeAnotherRequest()
+    void RequestKeysDependOnCredentials()
     {
         Exchange one;
         one.Method = "POST";
@@ -97,8 +92,8 @@
         }
     }
 
-    // The target closes the connection without an answer and lives on.
-    void ALostAnswerIsNoEnd()
+    // The target closes the connection without an answer and keeps running.
+    void ALostAnswerIsNoCrash()
     {
         QuarantineFleet fleet(1, 1);
         for (int n = 0; n < 4; n++)
@@ -111,7 +106,7 @@
         CPPUNIT_ASSERT_EQUAL(200, RigAsk(&fleet.Parts, *fleet.Instances[0], RigCall()).Answer.Status);
     }
 
-    void ATargetThatLeavesIsNoEnd()
+    void ADrainingTargetIsNoCrash()
     {
         QuarantineFleet fleet(1, 1);
         UsersTarget& target = *fleet.Parts.Targets[0];
@@ -127,8 +122,8 @@
         CPPUNIT_ASSERT(fleet.Instances[0]->Requests.Held.Requests.empty());
     }
 
-    // It was at two targets that ended, and is answered by the third: all instances count from nothing again.
-    void ARequestThatIsAnsweredIsCleared()
+    // An answer after two crashes resets the crash count at all instances.
+    void AnAnswerResetsTheCrashCount()
     {
         QuarantineFleet fleet(2, 4);
         fleet.AskEnding(*fleet.Instances[0]);
@@ -144,8 +139,8 @@
         CPPUNIT_ASSERT_EQUAL(0, QuarantineEnds(other, other.Requests.begin()->first));
     }
 
-    // One target that starts again at once, each time under the id that it had.
-    void StartsUnderTheSameIdCountEach()
+    // A target that restarts at once under the same id: each incarnation counts.
+    void EachIncarnationCounts()
     {
         QuarantineFleet fleet(1, 1);
         for (int n = 0; n < 3; n++)
@@ -159,8 +154,8 @@
         CPPUNIT_ASSERT_EQUAL(503, fleet.AskEnding(*fleet.Instances[0]).Answer.Status);
     }
 
-    // Two first contacts that each read the store, and know of nobody but each other: neither hears of the other from the store.
-    void InstancesThatWereApartLearnFromEachOther()
+    // Two seeds that both read the store exchange crashes with each other, although neither is the other's source.
+    void SeedsExchangeCrashesAfterAPartition()
     {
         QuarantineFleet fleet(2, 6);
         Gateway& first = *fleet.Instances[0];
@@ -183,13 +178,13 @@
         CPPUNIT_ASSERT(RigRun(&fleet.Parts, know_all));
     }
 
-    // The store is silent from before the first end: whoever reads it has lost it, and others look for better sources.
-    void ItIsToldWithoutTheStore()
+    // The store does not answer from before the first crash on, so that instances change their sources.
+    void CrashesAreExchangedWithoutTheStore()
     {
         QuarantineFleet fleet(4, 6);
         RigIdle(&fleet.Parts, SpreadUs);
         UsersStoreSetMode(&fleet.Parts.Store, StoreMode_Silent);
-        RigIdle(&fleet.Parts, 3 * UsPerSecond); // All know it by now.
+        RigIdle(&fleet.Parts, 3 * UsPerSecond); // All instances have noticed by then.
         for (size_t n = 0; n < 3; n++)
         {
             fleet.AskEnding(*fleet.Instances[n]);
@@ -202,7 +197,7 @@
         CPPUNIT_ASSERT_EQUAL(3, fleet.Ended());
     }
 
-    void OperatorsSeeAndLiftIt()
+    void OperatorsSeeAndLiftAQuarantine()
     {
         QuarantineFleet fleet(2, 5);
         for (int n = 0; n < 3; n++)
@@ -226,11 +221,12 @@
         CPPUNIT_ASSERT_EQUAL(std::string(LiftedText), said);
         const Quarantine& first = fleet.Instances[0]->Requests.Held;
         CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return QuarantineEnds(first, key) == 0; }));
-        CPPUNIT_ASSERT_EQUAL(502, fleet.AskEnding(*fleet.Instances[0]).Answer.Status); // It is sent again, and counts anew.
+        CPPUNIT_ASSERT_EQUAL(502,
+                             fleet.AskEnding(*fleet.Instances[0]).Answer.Status); // It is sent to a target, and the count starts at zero.
         CPPUNIT_ASSERT_EQUAL(4, fleet.Ended());
     }
 
-    void NewsMergeInAnyOrder()
+    void UpdatesMergeInAnyOrder()
     {
         CHECK_PROPERTY("whoever has heard the same holds the same, in whatever order and however often",
                        []()
@@ -266,7 +262,7 @@
                        });
     }
 
-    void ItIsLetGoInTimeAndHeldForLongerTheNextTime()
+    void AQuarantineEndsAndTheNextOneIsLonger()
     {
         Quarantine quarantine;
         const TimeUs hold = quarantine.Config.HoldUs;
@@ -276,17 +272,17 @@
             QuarantineNote(&quarantine, "r", fmt::format("t{}", n), UsPerSecond);
         }
         CPPUNIT_ASSERT_EQUAL(UsPerSecond + hold, QuarantineUntil(quarantine, "r", UsPerSecond));
-        const TimeUs let_go = UsPerSecond + hold;
-        QuarantineForget(&quarantine, let_go);
-        CPPUNIT_ASSERT_EQUAL(TimeUs{0}, QuarantineUntil(quarantine, "r", let_go));
-        QuarantineNote(&quarantine, "r", "t3", let_go); // One more end is enough now.
-        CPPUNIT_ASSERT_EQUAL(let_go + 2 * hold, QuarantineUntil(quarantine, "r", let_go));
-        QuarantineForget(&quarantine, let_go + 4 * hold);
+        const TimeUs quarantine_end = UsPerSecond + hold;
+        QuarantineForget(&quarantine, quarantine_end);
+        CPPUNIT_ASSERT_EQUAL(TimeUs{0}, QuarantineUntil(quarantine, "r", quarantine_end));
+        QuarantineNote(&quarantine, "r", "t3", quarantine_end); // One more crash is enough now.
+        CPPUNIT_ASSERT_EQUAL(quarantine_end + 2 * hold, QuarantineUntil(quarantine, "r", quarantine_end));
+        QuarantineForget(&quarantine, quarantine_end + 4 * hold);
         CPPUNIT_ASSERT(quarantine.Requests.empty());
         CPPUNIT_ASSERT_EQUAL(uint64_t{0}, quarantine.Digest);
     }
 
-    // Whoever sends many requests to a target that ends puts none out that has ended more.
+    // Many requests with one crash each don't displace a request with more crashes.
     void WhatIsRememberedIsBounded()
     {
         Quarantine quarantine;
@@ -309,7 +305,7 @@
         CPPUNIT_ASSERT(!QuarantineTake(&quarantine, {{long_name, "t", 0, false}, {"r", "", 0, false}, {"r", "t", -1, false}}, UsPerSecond));
     }
 
-    void BytesThatAreNoNewsAreRefused()
+    void MalformedBytesAreRefused()
     {
         CHECK_PROPERTY(
             "cut or changed bytes give an error",
