--- a/tests/quarantine_load_test.cpp
+++ b/tests/quarantine_load_test.cpp
@@ -14,9 +14,9 @@
 
 enum QuarantineRule_ : int
 {
-    QuarantineRule_None,      // Nobody remembers anything.
-    QuarantineRule_Alone,     // Each instance for itself.
-    QuarantineRule_CountOnly, // Together, but answers clear nothing.
+    QuarantineRule_None,      // No instance counts crashes.
+    QuarantineRule_Alone,     // Each instance counts crashes by itself.
+    QuarantineRule_CountOnly, // Instances exchange crashes; answers do not reset the count.
     QuarantineRule_Full,
     QuarantineRule_COUNT,
 };
@@ -25,20 +25,20 @@
 {
     QuarantineRule_ Rule = QuarantineRule_Full;
     size_t Instances = 30;
-    int Ending = 1;         // Requests that crash targets.
-    int Innocent = 40;      // Harmless requests.
-    TimeUs KillEveryUs = 0; // Interval at which targets are killed; 0: never.
-    int KillCount = 1;      // Targets that are killed together.
-    bool Silently = false;  // Targets crash without closing their connections.
+    int CrashingRequests = 1;  // Requests that crash targets.
+    int HarmlessRequests = 40; // Harmless requests.
+    TimeUs KillIntervalUs = 0; // Interval at which targets are killed; 0: never.
+    int KillCount = 1;         // Targets that are killed together.
+    bool Silently = false;     // Targets crash without closing their connections.
     TimeUs LengthUs = 30 * UsPerSecond;
 };
 
 struct LoadResult
 {
-    int Ends = 0;        // Targets that requests crashed.
-    int Tries = 0;       // Attempts of harmless requests.
-    int Served = 0;      // Of these, answered.
-    int HeldWrongly = 0; // Of these, refused as quarantined.
+    int Ends = 0;               // Targets that requests crashed.
+    int Tries = 0;              // Attempts of harmless requests.
+    int Served = 0;             // Of these, answered.
+    int QuarantinedWrongly = 0; // Of these, refused as quarantined.
 };
 
 class QuarantineModel
@@ -49,23 +49,23 @@
     {
     }
 
-    LoadResult Play()
+    LoadResult RunModel()
     {
         for (int n = 0; n < TargetCount; n++)
         {
             Targets.push_back({NextLife++, {}, 0});
         }
-        for (int n = 0; n < Setting.Ending; n++)
+        for (int n = 0; n < Setting.CrashingRequests; n++)
         {
-            Schedule(Between(0, 400 * UsPerMs), [this, n]() { SendEnding(n); });
+            Schedule(Between(0, 400 * UsPerMs), [this, n]() { SendCrashing(n); });
         }
-        for (int n = 0; n < Setting.Innocent; n++)
+        for (int n = 0; n < Setting.HarmlessRequests; n++)
         {
-            Schedule(Between(0, AgainUs), [this, n]() { SendInnocent(n); });
+            Schedule(Between(0, ResendUs), [this, n]() { SendHarmless(n); });
         }
-        if (Setting.KillEveryUs > 0)
+        if (Setting.KillIntervalUs > 0)
         {
-            Schedule(Setting.KillEveryUs, [this]() { Kill(); });
+            Schedule(Setting.KillIntervalUs, [this]() { Kill(); });
         }
         while (!Events.empty() && Events.top().AtUs < Setting.LengthUs)
         {
@@ -81,12 +81,12 @@
     static constexpr int TargetCount = 12;
     static constexpr size_t Slots = 3;
     static constexpr TimeUs WorkUs = 100 * UsPerMs;
-    static constexpr TimeUs BackUs = 3 * UsPerSecond;
-    static constexpr TimeUs AgainUs = 400 * UsPerMs;
+    static constexpr TimeUs RestartUs = 3 * UsPerSecond;
+    static constexpr TimeUs ResendUs = 400 * UsPerMs;
     static constexpr TimeUs SpreadUs = 500 * UsPerMs;
-    static constexpr TimeUs LookUs = 3 * UsPerMs;     // Time to detect that a target refuses connections.
-    static constexpr TimeUs DeadlineUs = UsPerSecond; // Deadline of requests that get no answer.
-    static constexpr TimeUs LapseUs = 4500 * UsPerMs; // Time until the store drops the entry of a silent target.
+    static constexpr TimeUs DetectUs = 3 * UsPerMs;        // Time to detect that a target refuses connections.
+    static constexpr TimeUs DeadlineUs = UsPerSecond;      // Deadline of requests that get no answer.
+    static constexpr TimeUs EntryLapseUs = 4500 * UsPerMs; // Time until the store drops the entry of a silent target.
 
     struct Event
     {
@@ -104,7 +104,7 @@
     {
         std::string Key;
         size_t Instance;
-        bool EndsTargets;
+        bool CrashesTargets;
         TimeUs SentUs = 0;
     };
 
@@ -142,17 +142,17 @@
         return static_cast<size_t>(Between(0, static_cast<TimeUs>(Instances.size()) - 1));
     }
 
-    void SendEnding(int number)
+    void SendCrashing(int number)
     {
         Send({"ends-" + std::to_string(number), AnyInstance(), true});
-        Schedule(AgainUs, [this, number]() { SendEnding(number); });
+        Schedule(ResendUs, [this, number]() { SendCrashing(number); });
     }
 
-    void SendInnocent(int number)
+    void SendHarmless(int number)
     {
         Result.Tries++;
         Send({"innocent-" + std::to_string(number), AnyInstance(), false});
-        Schedule(AgainUs, [this, number]() { SendInnocent(number); });
+        Schedule(ResendUs, [this, number]() { SendHarmless(number); });
     }
 
     void Send(const Work& work)
@@ -160,7 +160,7 @@
         const Quarantine& known = Instances[work.Instance];
         if (Setting.Rule != QuarantineRule_None && QuarantineUntil(known, work.Key, Now) > 0)
         {
-            Result.HeldWrongly += work.EndsTargets ? 0 : 1;
+            Result.QuarantinedWrongly += work.CrashesTargets ? 0 : 1;
             return;
         }
         std::vector<Target*> with_free_slot;
@@ -191,10 +191,10 @@
             return; // The target has crashed.
         }
         const Work work = found->second;
-        if (work.EndsTargets)
+        if (work.CrashesTargets)
         {
             Result.Ends++;
-            End(target);
+            Crash(target);
             return;
         }
         target->InProgress.erase(found);
@@ -209,11 +209,11 @@
         }
     }
 
-    void End(Target* target)
+    void Crash(Target* target)
     {
         const std::vector<std::pair<uint64_t, Work>> lost = std::exchange(target->InProgress, {});
         const uint64_t life = std::exchange(target->Life, NextLife++);
-        target->BackAtUs = Now + BackUs;
+        target->BackAtUs = Now + RestartUs;
         if (Setting.Silently)
         {
             StopAnswering(lost, life);
@@ -221,7 +221,7 @@
         }
         for (const auto& [id, work] : lost)
         {
-            Schedule(LookUs, [this, work = work, life]() { AddCrash(work, life); });
+            Schedule(DetectUs, [this, work = work, life]() { AddCrash(work, life); });
         }
     }
 
@@ -231,7 +231,7 @@
         {
             Schedule(work.SentUs + DeadlineUs - Now, [this, work = work, life]() { OnAttemptTimeout(work, life); });
         }
-        Schedule(LapseUs, [this, life]() { OnEntryMissing(life); });
+        Schedule(EntryLapseUs, [this, life]() { OnEntryMissing(life); });
     }
 
     void OnAttemptTimeout(const Work& work, uint64_t life)
@@ -282,22 +282,22 @@
     {
         for (int n = 0; n < Setting.KillCount; n++)
         {
-            End(&Targets[static_cast<size_t>(Between(0, TargetCount - 1))]);
+            Crash(&Targets[static_cast<size_t>(Between(0, TargetCount - 1))]);
         }
-        Schedule(Setting.KillEveryUs, [this]() { Kill(); });
+        Schedule(Setting.KillIntervalUs, [this]() { Kill(); });
     }
 };
 
-static LoadResult PlaySeeds(const LoadSetting& setting, int seeds)
+static LoadResult RunSeeds(const LoadSetting& setting, int seeds)
 {
     LoadResult sum;
     for (int seed = 1; seed <= seeds; seed++)
     {
-        const LoadResult one = QuarantineModel(setting, static_cast<uint64_t>(seed)).Play();
+        const LoadResult one = QuarantineModel(setting, static_cast<uint64_t>(seed)).RunModel();
         sum.Ends += one.Ends;
         sum.Tries += one.Tries;
         sum.Served += one.Served;
-        sum.HeldWrongly += one.HeldWrongly;
+        sum.QuarantinedWrongly += one.QuarantinedWrongly;
     }
     return sum;
 }
@@ -313,16 +313,16 @@
     CPPUNIT_TEST(FiftyCrashingRequestsAtOnceLeaveMoreToOthers);
     CPPUNIT_TEST_SUITE_END();
 
-    static LoadResult Play(QuarantineRule_ rule, size_t instances, int ending, int kills = 0, bool silently = false)
+    static LoadResult RunModel(QuarantineRule_ rule, size_t instances, int crashing, int kills = 0, bool silently = false)
     {
         LoadSetting setting;
         setting.Silently = silently;
         setting.Rule = rule;
         setting.Instances = instances;
-        setting.Ending = ending;
-        setting.KillEveryUs = kills > 0 ? UsPerSecond / 2 : 0;
+        setting.CrashingRequests = crashing;
+        setting.KillIntervalUs = kills > 0 ? UsPerSecond / 2 : 0;
         setting.KillCount = kills;
-        return PlaySeeds(setting, Seeds);
+        return RunSeeds(setting, Seeds);
     }
 
     static constexpr int Seeds = 2;
@@ -332,18 +332,18 @@
     {
         for (const size_t instances : {3, 30, 300})
         {
-            const LoadResult with_quarantine = Play(QuarantineRule_Full, instances, 1);
+            const LoadResult with_quarantine = RunModel(QuarantineRule_Full, instances, 1);
             CPPUNIT_ASSERT(with_quarantine.Ends <= 5 * Seeds);
             CPPUNIT_ASSERT(with_quarantine.Served >= 0.99 * with_quarantine.Tries);
-            CPPUNIT_ASSERT_EQUAL(0, with_quarantine.HeldWrongly);
+            CPPUNIT_ASSERT_EQUAL(0, with_quarantine.QuarantinedWrongly);
         }
-        const LoadResult sent_on = Play(QuarantineRule_None, 30, 1);
-        CPPUNIT_ASSERT(sent_on.Ends >= 60 * Seeds); // Two a second for the whole run.
+        const LoadResult without_quarantine = RunModel(QuarantineRule_None, 30, 1);
+        CPPUNIT_ASSERT(without_quarantine.Ends >= 60 * Seeds); // Two a second for the whole run.
     }
 
     void CountingPerInstanceIsNotEnough()
     {
-        CPPUNIT_ASSERT(Play(QuarantineRule_Alone, 30, 1).Ends >= 50 * Seeds);
+        CPPUNIT_ASSERT(RunModel(QuarantineRule_Alone, 30, 1).Ends >= 50 * Seeds);
     }
 
     // One target, or a third of them, is killed twice a second, so that most requests are lost in several crashes.
@@ -351,9 +351,9 @@
     {
         for (const int kills : {1, 4})
         {
-            CPPUNIT_ASSERT_EQUAL(0, Play(QuarantineRule_Full, 30, 0, kills).HeldWrongly);
-            CPPUNIT_ASSERT_EQUAL(0, Play(QuarantineRule_Full, 30, 1, kills).HeldWrongly);
-            CPPUNIT_ASSERT(Play(QuarantineRule_CountOnly, 30, 0, kills).HeldWrongly >= 100); // So the check can fail.
+            CPPUNIT_ASSERT_EQUAL(0, RunModel(QuarantineRule_Full, 30, 0, kills).QuarantinedWrongly);
+            CPPUNIT_ASSERT_EQUAL(0, RunModel(QuarantineRule_Full, 30, 1, kills).QuarantinedWrongly);
+            CPPUNIT_ASSERT(RunModel(QuarantineRule_CountOnly, 30, 0, kills).QuarantinedWrongly >= 100); // So the check can fail.
         }
     }
 
@@ -363,35 +363,35 @@
     {
         for (const size_t instances : {3, 30, 300})
         {
-            const LoadResult with_quarantine = Play(QuarantineRule_Full, instances, 1, 0, true);
+            const LoadResult with_quarantine = RunModel(QuarantineRule_Full, instances, 1, 0, true);
             CPPUNIT_ASSERT(with_quarantine.Ends <= 20 * Seeds);
-            CPPUNIT_ASSERT_EQUAL(0, with_quarantine.HeldWrongly);
+            CPPUNIT_ASSERT_EQUAL(0, with_quarantine.QuarantinedWrongly);
         }
         for (const int kills : {1, 4})
         {
-            CPPUNIT_ASSERT_EQUAL(0, Play(QuarantineRule_Full, 30, 0, kills, true).HeldWrongly);
-            CPPUNIT_ASSERT(Play(QuarantineRule_CountOnly, 30, 0, kills, true).HeldWrongly >= 50); // So the check can fail.
+            CPPUNIT_ASSERT_EQUAL(0, RunModel(QuarantineRule_Full, 30, 0, kills, true).QuarantinedWrongly);
+            CPPUNIT_ASSERT(RunModel(QuarantineRule_CountOnly, 30, 0, kills, true).QuarantinedWrongly >= 50); // So the check can fail.
         }
     }
 
     void FiveCrashingRequestsAtOnce()
     {
-        const LoadResult with_quarantine = Play(QuarantineRule_Full, 30, 5);
-        const LoadResult sent_on = Play(QuarantineRule_None, 30, 5);
+        const LoadResult with_quarantine = RunModel(QuarantineRule_Full, 30, 5);
+        const LoadResult without_quarantine = RunModel(QuarantineRule_None, 30, 5);
         CPPUNIT_ASSERT(with_quarantine.Ends <= 5 * 3 * Seeds);
-        CPPUNIT_ASSERT(with_quarantine.HeldWrongly <= 2);
+        CPPUNIT_ASSERT(with_quarantine.QuarantinedWrongly <= 2);
         CPPUNIT_ASSERT(with_quarantine.Served >= 0.9 * with_quarantine.Tries);
-        CPPUNIT_ASSERT(sent_on.Served <= 0.25 * sent_on.Tries);
+        CPPUNIT_ASSERT(without_quarantine.Served <= 0.25 * without_quarantine.Tries);
     }
 
     // Each of fifty requests crashes three targets before it is quarantined, so that most targets are down for long. Harmless requests are
     // served several times as often as without quarantine; some of them are quarantined while nothing is answered that resets their counts.
     void FiftyCrashingRequestsAtOnceLeaveMoreToOthers()
     {
-        const LoadResult with_quarantine = Play(QuarantineRule_Full, 30, 50);
-        const LoadResult sent_on = Play(QuarantineRule_None, 30, 50);
-        CPPUNIT_ASSERT(with_quarantine.Served >= 5 * sent_on.Served);
-        CPPUNIT_ASSERT(with_quarantine.HeldWrongly <= 0.1 * with_quarantine.Tries);
+        const LoadResult with_quarantine = RunModel(QuarantineRule_Full, 30, 50);
+        const LoadResult without_quarantine = RunModel(QuarantineRule_None, 30, 50);
+        CPPUNIT_ASSERT(with_quarantine.Served >= 5 * without_quarantine.Served);
+        CPPUNIT_ASSERT(with_quarantine.QuarantinedWrongly <= 0.1 * with_quarantine.Tries);
     }
 };
 
