--- a/tests/quarantine_fleet.h
+++ b/tests/quarantine_fleet.h
@@ -1,4 +1,4 @@
-// quarantine_fleet.h: instances that know each other, and targets that some requests end, in one event loop.
+// quarantine_fleet.h: instances that exchange updates, and targets that some requests crash, in one event loop.
 
 #pragma once
 
@@ -11,7 +11,7 @@
 
 inline constexpr const char* EndingPath = "/a/ends";
 
-// Instances that know each other, and targets that a request of EndingPath ends.
+// Instances that exchange updates, the first two of them seeds, and targets that a request for EndingPath crashes.
 struct QuarantineFleet
 {
     Rig Parts;
@@ -22,7 +22,7 @@
     QuarantineFleet(int instances, int targets)
     {
         UsersRoute route;
-        route.Attempts = 1; // So that one try ends one target at the most.
+        route.Attempts = 1; // So that one call crashes at most one target.
         Contacts = {FreeAddress(), FreeAddress()};
         for (int n = 0; n < targets; n++)
         {
@@ -42,7 +42,7 @@
         return target;
     }
 
-    // A target under an id that was there before.
+    // Starts another incarnation of a target.
     void StartAgain(const std::string& id, uint64_t life)
     {
         Parts.Targets.push_back(std::make_unique<UsersTarget>());
@@ -82,6 +82,6 @@
     }
 };
 
-inline constexpr TimeUs SpreadUs = 500 * UsPerMs; // Every instance that hears anybody knows by then what one of them has seen.
+inline constexpr TimeUs SpreadUs = 500 * UsPerMs; // Time within which an update reaches all instances that are connected.
 
 } // namespace Winchlink
