--- a/tests/silent_ends_test.cpp
+++ b/tests/silent_ends_test.cpp
@@ -1,7 +1,7 @@
-// silent_ends_test.cpp: requests under which targets fall silent instead of closing their connections.
+// silent_ends_test.cpp: requests that crash targets whose connections stay open.
 //
-// Such a request was never held: its attempts looked like those behind a cut, and each try of its caller silenced one more target. What
-// tells a silent end from a cut is known only later, from the store or from whoever has the target's address next.
+// Guards against such a request that is never quarantined. To the instance its attempts look like those behind a partition; the crash is
+// known only later, from the store or from the next target at the same address.
 
 #include "clock.h"
 #include "quarantine_fleet.h"
@@ -12,7 +12,7 @@
 namespace Winchlink
 {
 
-// One instance, and targets that fall silent under a request of EndingPath.
+// Targets that stop answering, with their connections open, on a request for EndingPath.
 struct SilentFleet : QuarantineFleet
 {
     explicit SilentFleet(int targets, int instances = 1) : QuarantineFleet(instances, targets)
@@ -33,7 +33,7 @@
         return silenced;
     }
 
-    // Sends one that silences a target, and waits until it has. Its answer comes at its deadline.
+    // Sends a request that silences a target, and waits until it has. The answer comes at the request's deadline.
     RigAnswerPtr SilenceOne(int deadline_ms)
     {
         const int before = Silenced();
@@ -51,8 +51,8 @@
         CPPUNIT_ASSERT_EQUAL(504, answer->Answer.Status);
     }
 
-    // Entries of silent targets go, as the store does with whom it hears no more.
-    void Forget()
+    // Removes the entries of silent targets, as the store does after missed heartbeats.
+    void RemoveSilentEntries()
     {
         for (const auto& target : Parts.Targets)
         {
@@ -63,46 +63,46 @@
         }
     }
 
-    const Quarantine& Held() const
+    const Quarantine& KnownQuarantine() const
     {
-        return Instances[0]->Requests.Held;
+        return Instances[0]->Requests.KnownQuarantine;
     }
 
     int Ends() const
     {
-        return Held().Requests.empty() ? 0 : QuarantineEnds(Held(), Held().Requests.begin()->first);
+        return KnownQuarantine().Requests.empty() ? 0 : QuarantineEnds(KnownQuarantine(), KnownQuarantine().Requests.begin()->first);
     }
 
-    void AwaitEnds(int ends)
+    void AwaitCrashes(int crashes)
     {
-        CPPUNIT_ASSERT(RigRun(&Parts, [&]() { return Ends() == ends; }));
+        CPPUNIT_ASSERT(RigRun(&Parts, [&]() { return Ends() == crashes; }));
     }
 };
 
-static constexpr int ShortMs = 200; // A caller's deadline.
+static constexpr int ShortMs = 200; // Deadline of a caller.
 
 class SilentEndsTest : public CPPUNIT_NS::TestFixture
 {
     CPPUNIT_TEST_SUITE(SilentEndsTest);
-    CPPUNIT_TEST(ARequestThatSilencesTargetsIsHeld);
-    CPPUNIT_TEST(AnAttemptThatStillWaitsCountsWhenItEnds);
-    CPPUNIT_TEST(ACallerThatLeavesHidesNothing);
-    CPPUNIT_TEST(AnotherStartOfTheTargetShowsIt);
-    CPPUNIT_TEST(ACutOrAHangIsNoEnd);
-    CPPUNIT_TEST(AnAnswerSinceThenClearsIt);
-    CPPUNIT_TEST(EntriesThatAStoreInTroubleLosesShowNothing);
-    CPPUNIT_TEST(WhatIsNotAskedFirstShowsNothing);
+    CPPUNIT_TEST(ARequestThatSilencesTargetsIsQuarantined);
+    CPPUNIT_TEST(AnAttemptInFlightCountsWhenItEnds);
+    CPPUNIT_TEST(AnAttemptOfACallerThatLeftCounts);
+    CPPUNIT_TEST(AnotherIncarnationShowsTheCrash);
+    CPPUNIT_TEST(APartitionOrAHangIsNoCrash);
+    CPPUNIT_TEST(AnAnswerSinceThenClearsTheAttempt);
+    CPPUNIT_TEST(EntriesLostWhileTheStoreIsInTroubleDoNotCount);
+    CPPUNIT_TEST(TargetsThatAreNotProbedDoNotCount);
     CPPUNIT_TEST(WhatIsRememberedIsBounded);
     CPPUNIT_TEST_SUITE_END();
 
-    void ARequestThatSilencesTargetsIsHeld()
+    void ARequestThatSilencesTargetsIsQuarantined()
     {
         SilentFleet fleet(4, 2);
         for (int n = 1; n <= 3; n++)
         {
             fleet.Await(fleet.SilenceOne(ShortMs));
-            fleet.Forget();
-            fleet.AwaitEnds(n);
+            fleet.RemoveSilentEntries();
+            fleet.AwaitCrashes(n);
         }
         RigIdle(&fleet.Parts, SpreadUs);
         CPPUNIT_ASSERT_EQUAL(503, fleet.AskEnding(*fleet.Instances[0]).Answer.Status);
@@ -110,12 +110,12 @@
         CPPUNIT_ASSERT_EQUAL(3, fleet.Silenced());
     }
 
-    // The target's entry goes before the caller's deadline.
-    void AnAttemptThatStillWaitsCountsWhenItEnds()
+    // The target's entry is removed before the caller's deadline.
+    void AnAttemptInFlightCountsWhenItEnds()
     {
         SilentFleet fleet(2);
         const RigAnswerPtr answer = fleet.SilenceOne(800);
-        fleet.Forget();
+        fleet.RemoveSilentEntries();
         const TargetPool& pool = fleet.Instances[0]->Requests.Services.at("svc").Pool;
         CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return !fleet.Instances[0]->Requests.Silent.Targets.empty(); }));
         CPPUNIT_ASSERT(!answer->Done && pool.Targets.size() == 2);
@@ -124,7 +124,7 @@
         CPPUNIT_ASSERT_EQUAL(1, fleet.Ends());
     }
 
-    void ACallerThatLeavesHidesNothing()
+    void AnAttemptOfACallerThatLeftCounts()
     {
         SilentFleet fleet(1);
         RawCaller caller(&fleet.Parts.Loop, fleet.Instances[0]->Config.CallerAddress);
@@ -132,21 +132,21 @@
         CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return fleet.Silenced() == 1; }));
         RawClose(&caller);
         CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return !fleet.Instances[0]->Requests.Silent.Attempts.empty(); }));
-        fleet.Forget();
-        fleet.AwaitEnds(1);
+        fleet.RemoveSilentEntries();
+        fleet.AwaitCrashes(1);
     }
 
-    // Under its id, before its entry has gone.
-    void AnotherStartOfTheTargetShowsIt()
+    // Another incarnation under the same id, before the entry was removed.
+    void AnotherIncarnationShowsTheCrash()
     {
         SilentFleet fleet(1);
         fleet.Await(fleet.SilenceOne(ShortMs));
         fleet.StartAgain("t1", 1000);
-        fleet.AwaitEnds(1);
+        fleet.AwaitCrashes(1);
     }
 
-    // The target is silent to us, and its entry stays.
-    void ACutOrAHangIsNoEnd()
+    // The target does not answer, but its entry stays.
+    void APartitionOrAHangIsNoCrash()
     {
         SilentFleet fleet(1);
         fleet.Await(fleet.SilenceOne(ShortMs));
@@ -159,8 +159,8 @@
         CPPUNIT_ASSERT(later.Attempts.empty());
     }
 
-    // The same request is answered by another target before the first one's end is known.
-    void AnAnswerSinceThenClearsIt()
+    // The same request is answered by another target before the crash of the first one is known.
+    void AnAnswerSinceThenClearsTheAttempt()
     {
         SilentFleet fleet(2);
         fleet.Await(fleet.SilenceOne(ShortMs));
@@ -169,12 +169,12 @@
             target->EndsOn.clear();
         }
         CPPUNIT_ASSERT_EQUAL(200, fleet.AskEnding(*fleet.Instances[0]).Answer.Status);
-        fleet.Forget();
+        fleet.RemoveSilentEntries();
         CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return !fleet.Instances[0]->Requests.Silent.Targets.empty(); }));
         CPPUNIT_ASSERT_EQUAL(0, fleet.Ends());
     }
 
-    void EntriesThatAStoreInTroubleLosesShowNothing()
+    void EntriesLostWhileTheStoreIsInTroubleDoNotCount()
     {
         TargetDirectory directory;
         DirectoryTarget target;
@@ -186,7 +186,7 @@
         DirectoryAnswered(&directory, 2 * UsPerSecond);
         DirectoryRemove(&directory, "t", 2, 2 * UsPerSecond);
         CPPUNIT_ASSERT(DirectoryTakeEnded(&directory).empty());
-        target.Revision = 3; // It is back, and goes without trouble; one that says that it leaves does not count either.
+        target.Revision = 3; // The entry is back. It counts when removed without trouble, but not if the target was draining.
         DirectoryPut(&directory, target, 3 * UsPerSecond);
         DirectoryRemove(&directory, "t", 4, 60 * UsPerSecond);
         CPPUNIT_ASSERT_EQUAL(size_t{1}, DirectoryTakeEnded(&directory).size());
@@ -197,8 +197,8 @@
         CPPUNIT_ASSERT(DirectoryTakeEnded(&directory).empty());
     }
 
-    // Targets that tell no load may have been silent before the request came.
-    void WhatIsNotAskedFirstShowsNothing()
+    // Targets that report no load are not probed before the request, and may have been silent already.
+    void TargetsThatAreNotProbedDoNotCount()
     {
         SilentFleet fleet(1);
         fleet.Parts.Targets[0]->TellsLoad = false;
