--- a/tests/silent_ends_test.cpp
+++ b/tests/silent_ends_test.cpp
@@ -65,17 +65,17 @@
 
     const Quarantine& KnownQuarantine() const
     {
-        return Instances[0]->Requests.KnownQuarantine;
+        return Instances[0]->Requests.Held;
     }
 
-    int Ends() const
+    int CrashCount() const
     {
         return KnownQuarantine().Requests.empty() ? 0 : QuarantineEnds(KnownQuarantine(), KnownQuarantine().Requests.begin()->first);
     }
 
     void AwaitCrashes(int crashes)
     {
-        CPPUNIT_ASSERT(RigRun(&Parts, [&]() { return Ends() == crashes; }));
+        CPPUNIT_ASSERT(RigRun(&Parts, [&]() { return CrashCount() == crashes; }));
     }
 };
 
@@ -119,9 +119,9 @@
         const TargetPool& pool = fleet.Instances[0]->Requests.Services.at("svc").Pool;
         CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return !fleet.Instances[0]->Requests.Silent.Targets.empty(); }));
         CPPUNIT_ASSERT(!answer->Done && pool.Targets.size() == 2);
-        CPPUNIT_ASSERT_EQUAL(0, fleet.Ends());
+        CPPUNIT_ASSERT_EQUAL(0, fleet.CrashCount());
         fleet.Await(answer);
-        CPPUNIT_ASSERT_EQUAL(1, fleet.Ends());
+        CPPUNIT_ASSERT_EQUAL(1, fleet.CrashCount());
     }
 
     void AnAttemptOfACallerThatLeftCounts()
@@ -151,7 +151,7 @@
         SilentFleet fleet(1);
         fleet.Await(fleet.SilenceOne(ShortMs));
         RigIdle(&fleet.Parts, SpreadUs);
-        CPPUNIT_ASSERT_EQUAL(0, fleet.Ends());
+        CPPUNIT_ASSERT_EQUAL(0, fleet.CrashCount());
         const SilentEnds& silent = fleet.Instances[0]->Requests.Silent;
         SilentEnds later = silent;
         CPPUNIT_ASSERT_EQUAL(size_t{1}, later.Attempts.size());
@@ -171,7 +171,7 @@
         CPPUNIT_ASSERT_EQUAL(200, fleet.AskEnding(*fleet.Instances[0]).Answer.Status);
         fleet.RemoveSilentEntries();
         CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return !fleet.Instances[0]->Requests.Silent.Targets.empty(); }));
-        CPPUNIT_ASSERT_EQUAL(0, fleet.Ends());
+        CPPUNIT_ASSERT_EQUAL(0, fleet.CrashCount());
     }
 
     void EntriesLostWhileTheStoreIsInTroubleDoNotCount()
