--- a/tests/quarantine_load_test.cpp
+++ b/tests/quarantine_load_test.cpp
@@ -35,8 +35,8 @@
 
 struct LoadResult
 {
-    int Ends = 0;               // Targets that requests crashed.
-    int Tries = 0;              // Attempts of harmless requests.
+    int CrashCount = 0;         // Targets that requests crashed.
+    int AttemptCount = 0;       // Attempts of harmless requests.
     int Served = 0;             // Of these, answered.
     int QuarantinedWrongly = 0; // Of these, refused as quarantined.
 };
@@ -150,7 +150,7 @@
 
     void SendHarmless(int number)
     {
-        Result.Tries++;
+        Result.AttemptCount++;
         Send({"innocent-" + std::to_string(number), AnyInstance(), false});
         Schedule(ResendUs, [this, number]() { SendHarmless(number); });
     }
@@ -193,7 +193,7 @@
         const Work work = found->second;
         if (work.CrashesTargets)
         {
-            Result.Ends++;
+            Result.CrashCount++;
             Crash(target);
             return;
         }
@@ -294,8 +294,8 @@
     for (int seed = 1; seed <= seeds; seed++)
     {
         const LoadResult one = QuarantineModel(setting, static_cast<uint64_t>(seed)).RunModel();
-        sum.Ends += one.Ends;
-        sum.Tries += one.Tries;
+        sum.CrashCount += one.CrashCount;
+        sum.AttemptCount += one.AttemptCount;
         sum.Served += one.Served;
         sum.QuarantinedWrongly += one.QuarantinedWrongly;
     }
@@ -333,17 +333,17 @@
         for (const size_t instances : {3, 30, 300})
         {
             const LoadResult with_quarantine = RunModel(QuarantineRule_Full, instances, 1);
-            CPPUNIT_ASSERT(with_quarantine.Ends <= 5 * Seeds);
-            CPPUNIT_ASSERT(with_quarantine.Served >= 0.99 * with_quarantine.Tries);
+            CPPUNIT_ASSERT(with_quarantine.CrashCount <= 5 * Seeds);
+            CPPUNIT_ASSERT(with_quarantine.Served >= 0.99 * with_quarantine.AttemptCount);
             CPPUNIT_ASSERT_EQUAL(0, with_quarantine.QuarantinedWrongly);
         }
         const LoadResult without_quarantine = RunModel(QuarantineRule_None, 30, 1);
-        CPPUNIT_ASSERT(without_quarantine.Ends >= 60 * Seeds); // Two a second for the whole run.
+        CPPUNIT_ASSERT(without_quarantine.CrashCount >= 60 * Seeds); // Two a second for the whole run.
     }
 
     void CountingPerInstanceIsNotEnough()
     {
-        CPPUNIT_ASSERT(RunModel(QuarantineRule_Alone, 30, 1).Ends >= 50 * Seeds);
+        CPPUNIT_ASSERT(RunModel(QuarantineRule_Alone, 30, 1).CrashCount >= 50 * Seeds);
     }
 
     // One target, or a third of them, is killed twice a second, so that most requests are lost in several crashes.
@@ -364,7 +364,7 @@
         for (const size_t instances : {3, 30, 300})
         {
             const LoadResult with_quarantine = RunModel(QuarantineRule_Full, instances, 1, 0, true);
-            CPPUNIT_ASSERT(with_quarantine.Ends <= 20 * Seeds);
+            CPPUNIT_ASSERT(with_quarantine.CrashCount <= 20 * Seeds);
             CPPUNIT_ASSERT_EQUAL(0, with_quarantine.QuarantinedWrongly);
         }
         for (const int kills : {1, 4})
@@ -378,10 +378,10 @@
     {
         const LoadResult with_quarantine = RunModel(QuarantineRule_Full, 30, 5);
         const LoadResult without_quarantine = RunModel(QuarantineRule_None, 30, 5);
-        CPPUNIT_ASSERT(with_quarantine.Ends <= 5 * 3 * Seeds);
+        CPPUNIT_ASSERT(with_quarantine.CrashCount <= 5 * 3 * Seeds);
         CPPUNIT_ASSERT(with_quarantine.QuarantinedWrongly <= 2);
-        CPPUNIT_ASSERT(with_quarantine.Served >= 0.9 * with_quarantine.Tries);
-        CPPUNIT_ASSERT(without_quarantine.Served <= 0.25 * without_quarantine.Tries);
+        CPPUNIT_ASSERT(with_quarantine.Served >= 0.9 * with_quarantine.AttemptCount);
+        CPPUNIT_ASSERT(without_quarantine.Served <= 0.25 * without_quarantine.AttemptCount);
     }
 
     // Each of fifty requests crashes three targets before it is quarantined, so that most targets are down for long. Harmless requests are
@@ -391,7 +391,7 @@
         const LoadResult with_quarantine = RunModel(QuarantineRule_Full, 30, 50);
         const LoadResult without_quarantine = RunModel(QuarantineRule_None, 30, 50);
         CPPUNIT_ASSERT(with_quarantine.Served >= 5 * without_quarantine.Served);
-        CPPUNIT_ASSERT(with_quarantine.QuarantinedWrongly <= 0.1 * with_quarantine.Tries);
+        CPPUNIT_ASSERT(with_quarantine.QuarantinedWrongly <= 0.1 * with_quarantine.AttemptCount);
     }
 };
 
