--- a/tests/customers_test.cpp
+++ b/tests/customers_test.cpp
@@ -1,4 +1,6 @@
-// customers_test.cpp: customers and their keys: who is served, what targets and other instances see of a key, and keys that are taken away.
+// customers_test.cpp: customers and their API keys.
+//
+// Guards against callers that are served with an unknown or revoked key, and against keys that reach targets, other instances or pages.
 
 #include "call.h"
 #include "caller_key.h"
@@ -17,7 +19,7 @@
 static const UsersCustomer Anne = {"anne", {AnnesKey}};
 static const UsersCustomer Ben = {"ben", {BensKey, "bens-second-key"}};
 
-// A target works for so long that a configuration is in force before its end, however busy the machine is.
+// Long enough that a new configuration is in force before a target finishes, also on a slow machine.
 static constexpr TimeUs LongWorkUs = 5 * UsPerSecond;
 static constexpr int LongDeadlineMs = 15000;
 
@@ -35,7 +37,7 @@
     return call;
 }
 
-// Requests wait for a slot as long as the work takes.
+// A route whose requests wait for a free slot until a target finishes.
 static UsersRoute LongRoute()
 {
     UsersRoute route;
@@ -61,7 +63,7 @@
     return std::to_string(static_cast<int>(code));
 }
 
-// What a target was told of who asks; "-" if nothing.
+// The customer's name that a target received; "-" if none.
 static std::string CustomerSeen(const TargetSaw& saw)
 {
     const std::string* name = FindHeader(saw.Headers, PlatformNames().Customer);
@@ -89,18 +91,18 @@
     CPPUNIT_TEST(AKeyOfTwoCustomersIsRefused);
     CPPUNIT_TEST(TenThousandCustomers);
     CPPUNIT_TEST(SpellingsOfAKey);
-    CPPUNIT_TEST(AKnownKeyIsServedInTheCustomersName);
+    CPPUNIT_TEST(TargetsGetTheNameOfTheKeysCustomer);
     CPPUNIT_TEST(AnUnknownOrMissingKeyIsRefusedAtOnce);
-    CPPUNIT_TEST(NoSpellingReachesATarget);
+    CPPUNIT_TEST(KeysReachNoTargetInAnySpelling);
     CPPUNIT_TEST(PublicRoutesNeedNoKey);
     CPPUNIT_TEST(WithoutCustomersNothingChanges);
-    CPPUNIT_TEST(AKeyThatIsTakenAwayEndsOnKeptConnections);
-    CPPUNIT_TEST(AWaitingRequestIsNotSentOnceItsKeyIsTakenAway);
-    CPPUNIT_TEST(ARequestIsNotSentAgainOnceItsKeyIsTakenAway);
-    CPPUNIT_TEST(WhileTheStoreIsAwayAnUnknownKeyIsNotFinal);
-    CPPUNIT_TEST(WithoutAPlanNobodyIsUnknown);
-    CPPUNIT_TEST(KeysAreNotHandedOnOrShown);
-    CPPUNIT_TEST(ACustomersPriorityComesBeforeTheRoutes);
+    CPPUNIT_TEST(ARevokedKeyIsRefusedOnKeptConnections);
+    CPPUNIT_TEST(AWaitingRequestIsNotSentOnceItsKeyIsRevoked);
+    CPPUNIT_TEST(ARequestIsNotRetriedOnceItsKeyIsRevoked);
+    CPPUNIT_TEST(AnUnknownKeyIsNotFinalWhileTheStoreIsAway);
+    CPPUNIT_TEST(WithoutAPlanNoKeyIsUnknown);
+    CPPUNIT_TEST(KeysAreNotSentToInstancesOrShown);
+    CPPUNIT_TEST(ACustomersPriorityOverridesTheRoutes);
     CPPUNIT_TEST(CustomersThatCantBeReadKeepThePlan);
     CPPUNIT_TEST_SUITE_END();
 
@@ -126,7 +128,7 @@
         Customers all;
         Customer one;
         one.Name = "one";
-        one.Keys = {HashKey("k"), HashKey("k")}; // Named twice by itself is no fault.
+        one.Keys = {HashKey("k"), HashKey("k")}; // The same key twice in one customer is allowed.
         Customer two = one;
         two.Name = "two";
         CPPUNIT_ASSERT(bool(AddCustomer(&all, one)));
@@ -169,7 +171,7 @@
         }
     }
 
-    void AKnownKeyIsServedInTheCustomersName()
+    void TargetsGetTheNameOfTheKeysCustomer()
     {
         Rig rig;
         const UsersTarget& target = RigTarget(&rig, "t");
@@ -199,8 +201,8 @@
         CPPUNIT_ASSERT_EQUAL(0, target.HealthAsked);
     }
 
-    // Whatever the caller writes, the target sees the customer's name and no key.
-    void NoSpellingReachesATarget()
+    // Whatever headers the caller sends, the target gets the customer's name and no key.
+    void KeysReachNoTargetInAnySpelling()
     {
         Rig rig;
         const UsersTarget& target = RigTarget(&rig, "t");
@@ -251,10 +253,10 @@
         RigConfigure(&rig, {UsersRoute()});
         const Gateway& instance = RigInstance(&rig, 1);
         CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, WithKey(AnnesKey)).Answer.Status);
-        CPPUNIT_ASSERT(HoldsText(target.Saw[0], AnnesKey)); // Between the caller and the target.
+        CPPUNIT_ASSERT(HoldsText(target.Saw[0], AnnesKey)); // Authorization is passed on unchanged.
     }
 
-    void AKeyThatIsTakenAwayEndsOnKeptConnections()
+    void ARevokedKeyIsRefusedOnKeptConnections()
     {
         Rig rig;
         RigTarget(&rig, "t");
@@ -267,8 +269,8 @@
         CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, WithKey("bens-second-key")).Answer.Status);
     }
 
-    // All targets are busy: the request waits for a slot, and its key goes meanwhile.
-    void AWaitingRequestIsNotSentOnceItsKeyIsTakenAway()
+    // All targets are busy: the key is revoked while the request waits for a free slot.
+    void AWaitingRequestIsNotSentOnceItsKeyIsRevoked()
     {
         Rig rig;
         UsersTarget& target = RigTarget(&rig, "t");
@@ -291,7 +293,7 @@
         CPPUNIT_ASSERT_EQUAL(0, RigRuns(rig, second->Id));
     }
 
-    void ARequestIsNotSentAgainOnceItsKeyIsTakenAway()
+    void ARequestIsNotRetriedOnceItsKeyIsRevoked()
     {
         Rig rig;
         UsersTarget& one = RigTarget(&rig, "t1");
@@ -306,11 +308,11 @@
         AwaitVersion(&rig, instance);
         CPPUNIT_ASSERT(!answer->Done);
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return answer->Done; }));
-        CPPUNIT_ASSERT_EQUAL(502, answer->Answer.Status); // It may have run.
+        CPPUNIT_ASSERT_EQUAL(502, answer->Answer.Status); // The attempt may have run.
         CPPUNIT_ASSERT_EQUAL(1, RigRuns(rig, answer->Id));
     }
 
-    void WhileTheStoreIsAwayAnUnknownKeyIsNotFinal()
+    void AnUnknownKeyIsNotFinalWhileTheStoreIsAway()
     {
         Rig rig;
         RigTarget(&rig, "t");
@@ -322,11 +324,11 @@
         CPPUNIT_ASSERT_EQUAL(503, unknown.Answer.Status);
         CPPUNIT_ASSERT_EQUAL(Text(Code_KeyNotLearnt), CodeOf(unknown));
         CPPUNIT_ASSERT(FindHeader(unknown.Answer.Headers, "Retry-After") != nullptr);
-        CPPUNIT_ASSERT_EQUAL(401, RigAsk(&rig, instance, RigCall()).Answer.Status); // No plan would know it.
+        CPPUNIT_ASSERT_EQUAL(401, RigAsk(&rig, instance, RigCall()).Answer.Status); // A missing key is unknown in every plan.
         CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, WithKey(AnnesKey)).Answer.Status);
     }
 
-    void WithoutAPlanNobodyIsUnknown()
+    void WithoutAPlanNoKeyIsUnknown()
     {
         Rig rig;
         UsersStoreSetMode(&rig.Store, StoreMode_Refusing);
@@ -336,8 +338,8 @@
         CPPUNIT_ASSERT_EQUAL(Text(Code_NoTable), CodeOf(answer));
     }
 
-    // Not in what other instances are told, nor on the operators' pages.
-    void KeysAreNotHandedOnOrShown()
+    // Keys appear neither in the updates for other instances nor on the operators' pages. Updates hold hashes of them.
+    void KeysAreNotSentToInstancesOrShown()
     {
         Rig rig;
         RigTarget(&rig, "t");
@@ -361,8 +363,8 @@
         }
     }
 
-    // Two wait for one slot; the route says that they are alike.
-    void ACustomersPriorityComesBeforeTheRoutes()
+    // Two requests of different customers wait for a slot. The route gives both the same priority.
+    void ACustomersPriorityOverridesTheRoutes()
     {
         Rig rig;
         UsersTarget& target = RigTarget(&rig, "t");
@@ -374,7 +376,7 @@
         urgent.Priority = 0;
         RigConfigureFor(&rig, {route}, {Anne, urgent});
         Gateway& instance = RigInstance(&rig, 1);
-        for (const std::string& key : {AnnesKey, AnnesKey, AnnesKey, AnnesKey, BensKey}) // Three find a slot.
+        for (const std::string& key : {AnnesKey, AnnesKey, AnnesKey, AnnesKey, BensKey}) // Three get a slot at once.
         {
             RigCall call = WithKey(key);
             call.DeadlineMs = 15000;
@@ -394,7 +396,7 @@
         {
             waiting.push_back(entry.lock());
         }
-        PoolReport(PoolFind(&service.Pool, "t"), LoadReport{0, 0, 3, 100}, NowUs()); // Its slots have come free.
+        PoolReport(PoolFind(&service.Pool, "t"), LoadReport{0, 0, 3, 100}, NowUs()); // Its slots are free again.
         ServeWaiting(&service, "t");
         for (const CallPtr& call : waiting)
         {
