--- a/tests/target_limit_test.cpp
+++ b/tests/target_limit_test.cpp
@@ -1,4 +1,6 @@
-// target_limit_test.cpp: targets that name a limit on their requests, over real instances in one process.
+// target_limit_test.cpp: limits that targets name on their requests, over real instances in one process.
+//
+// Guards against instances that exceed a target's limit, each by itself or together, or that keep it when the target names none any more.
 
 #include "gateway_rig.h"
 #include "process.h"
@@ -8,16 +10,16 @@
 namespace Winchlink
 {
 
-static constexpr TimeUs WindowUs = 4 * UsPerSecond; // Over which the users count,
-static constexpr double WindowOverage = 1.5;        // what they allow of a limit,
-static constexpr double WindowSlack = 5;            // and the requests on top.
+static constexpr TimeUs WindowUs = 4 * UsPerSecond; // Length of the window that limits are checked over,
+static constexpr double WindowOverage = 1.5;        // allowed multiple of the limit in a window,
+static constexpr double WindowSlack = 5;            // and requests allowed on top.
 
 static double AllowedInWindow(double per_s)
 {
     return per_s * static_cast<double>(WindowUs) / static_cast<double>(UsPerSecond) * WindowOverage + WindowSlack;
 }
 
-// Requests of moments that a target got, the most in any window.
+// Maximum number of arrivals in any window.
 static size_t MostInWindow(const std::vector<TimeUs>& arrivals)
 {
     size_t most = 0;
@@ -33,7 +35,7 @@
     return most;
 }
 
-// Instances that find each other, with addresses of their own on this machine; the first is the first contact.
+// Starts instances with addresses of their own on this machine; the first one is the seed.
 static std::vector<const Gateway*> StartFleet(Rig* rig, int instances, size_t targets)
 {
     const int port = FreePort("127.0.0.10");
@@ -56,7 +58,7 @@
     return fleet;
 }
 
-// Callers that ask instances by turns, at a steady pace, until the time is over.
+// Sends requests to the instances in turn, at a steady rate, until `time` has passed.
 static void Load(Rig* rig, const std::vector<const Gateway*>& fleet, double per_s, TimeUs time)
 {
     const auto pause = static_cast<TimeUs>(static_cast<double>(UsPerSecond) / per_s);
@@ -71,16 +73,16 @@
 {
     CPPUNIT_TEST_SUITE(TargetLimitTest);
     CPPUNIT_TEST(InstancesKeepATargetsLimitTogether);
-    CPPUNIT_TEST(WhereAllAreAtTheirLimitsCallersAreRefusedAtOnce);
-    CPPUNIT_TEST(TargetsThatTellNoLoadHaveLimitsToo);
-    CPPUNIT_TEST(RepeatsCountAgainstTheLimit);
+    CPPUNIT_TEST(CallersAreRefusedAtOnceIfAllTargetsAreAtTheirLimits);
+    CPPUNIT_TEST(TargetsThatReportNoLoadMayNameLimits);
+    CPPUNIT_TEST(RetriesCountAgainstTheLimit);
     CPPUNIT_TEST(ALimitThatIsNoLongerNamedIsGone);
-    CPPUNIT_TEST(AnotherStartOfATargetHasNoLimit);
-    CPPUNIT_TEST(InstancesHearOfLimitsFromEachOther);
-    CPPUNIT_TEST(NothingIsToldOnceNoLimitIsKnown);
+    CPPUNIT_TEST(AnotherIncarnationHasNoLimit);
+    CPPUNIT_TEST(InstancesLearnLimitsFromEachOther);
+    CPPUNIT_TEST(NothingIsSentOnceNoLimitIsKnown);
     CPPUNIT_TEST_SUITE_END();
 
-    // Guards against instances that send on to a target in need as if it had named no limit, or that keep it each by itself.
+    // Guards against instances that ignore a target's limit, or that enforce it each by itself.
     void InstancesKeepATargetsLimitTogether()
     {
         constexpr double limit = 2;
@@ -102,7 +104,7 @@
         CPPUNIT_ASSERT_MESSAGE(fmt::format("{} in a window", most), static_cast<double>(most) <= AllowedInWindow(limit));
     }
 
-    void WhereAllAreAtTheirLimitsCallersAreRefusedAtOnce()
+    void CallersAreRefusedAtOnceIfAllTargetsAreAtTheirLimits()
     {
         Rig rig;
         for (const char* id : {"t1", "t2"})
@@ -122,7 +124,8 @@
             {
                 CPPUNIT_ASSERT_EQUAL(std::string("2017"), *code);
                 CPPUNIT_ASSERT_EQUAL(0, RigRuns(rig, answer.Id));
-                CPPUNIT_ASSERT(std::stod(*FindHeader(answer.Answer.Headers, "Retry-After")) >= 0.9); // One a second at both together.
+                CPPUNIT_ASSERT(std::stod(*FindHeader(answer.Answer.Headers, "Retry-After")) >=
+                               0.9); // Both targets together take one request a second.
                 refused++;
             }
         }
@@ -130,7 +133,7 @@
         CPPUNIT_ASSERT_EQUAL(0, instance.Requests.Services.at("svc").InProgress);
     }
 
-    void TargetsThatTellNoLoadHaveLimitsToo()
+    void TargetsThatReportNoLoadMayNameLimits()
     {
         Rig rig;
         UsersTarget& limited = RigTarget(&rig, "t1");
@@ -147,8 +150,8 @@
         CPPUNIT_ASSERT(!limited.Arrivals.empty());
     }
 
-    // The other target turns each request away: all of them come to the limited one as repeats.
-    void RepeatsCountAgainstTheLimit()
+    // The other target refuses each request, so that all of them come to the limited one as retries.
+    void RetriesCountAgainstTheLimit()
     {
         Rig rig;
         UsersTarget& limited = RigTarget(&rig, "t1");
@@ -183,7 +186,7 @@
         }
     }
 
-    void AnotherStartOfATargetHasNoLimit()
+    void AnotherIncarnationHasNoLimit()
     {
         Rig rig;
         UsersTarget& target = RigTarget(&rig, "t1");
@@ -199,7 +202,7 @@
         CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status);
     }
 
-    void InstancesHearOfLimitsFromEachOther()
+    void InstancesLearnLimitsFromEachOther()
     {
         Rig rig;
         RigTarget(&rig, "t1").Says = {{"Server-Limit", "100"}};
@@ -216,8 +219,8 @@
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return fleet[0]->Requests.TargetLimits.MembersMost == 4; }));
     }
 
-    // Guards against instances that go on telling each other of limits after the last one is gone.
-    void NothingIsToldOnceNoLimitIsKnown()
+    // Guards against instances that keep sending limits to each other after the last one has expired.
+    void NothingIsSentOnceNoLimitIsKnown()
     {
         Rig rig;
         UsersTarget& target = RigTarget(&rig, "t1");
