--- a/tests/target_backoff_test.cpp
+++ b/tests/target_backoff_test.cpp
@@ -1,4 +1,6 @@
-// target_backoff_test.cpp: targets that refuse and want nothing from an instance for a while.
+// target_backoff_test.cpp: targets that refuse requests and ask for a backoff.
+//
+// Guards against instances that send requests or probes to a target before its backoff ends.
 
 #include "gateway_rig.h"
 
@@ -8,11 +10,11 @@
 {
 
 static constexpr TimeUs BackoffUs = 2 * UsPerSecond;
-static constexpr TimeUs OnTheirWayUs = 500 * UsPerMs; // What was sent before the refusal came arrives by then.
-static constexpr size_t LateMost = 2;                 // Requests that the users allow between that and the end of the time.
+static constexpr TimeUs InFlightGraceUs = 500 * UsPerMs; // Requests sent before the refusal arrived are not counted for so long.
+static constexpr size_t LateArrivalsMax = 2;             // Requests allowed between that and the end of the backoff.
 
-// A target that turns every third request away and asks for rest, with answers between that run.
-static UsersTarget& RefusingTarget(Rig* rig)
+// A target that refuses every third request with a backoff of 2 s and runs the others.
+static UsersTarget& AddRefusingTarget(Rig* rig)
 {
     UsersTarget& target = RigTarget(rig, "refusing");
     for (int n = 0; n < 300; n++)
@@ -23,7 +25,7 @@
     return target;
 }
 
-// Requests that came while the target wanted nothing, by the times of its refusals.
+// Maximum number of requests that arrived during the backoff of one refusal.
 static size_t LateArrivals(const UsersTarget& target)
 {
     size_t late = 0;
@@ -31,14 +33,14 @@
     {
         const auto came_late = [refused](TimeUs at)
         {
-            return at > refused + OnTheirWayUs && at < refused + BackoffUs;
+            return at > refused + InFlightGraceUs && at < refused + BackoffUs;
         };
         late = std::max<size_t>(late, std::count_if(target.Arrivals.begin(), target.Arrivals.end(), came_late));
     }
     return late;
 }
 
-// Sends requests at an even pace, without waiting for their answers; so far apart that targets are asked for each.
+// Sends requests at a steady rate without waiting for answers, so far apart that targets are probed for each.
 static void SendMany(Rig* rig, const Gateway& instance, const RigCall& call, int count)
 {
     for (int n = 0; n < count; n++)
@@ -51,26 +53,26 @@
 class TargetBackoffTest : public CPPUNIT_NS::TestFixture
 {
     CPPUNIT_TEST_SUITE(TargetBackoffTest);
-    CPPUNIT_TEST(ATargetThatAsksForRestGetsNothing);
-    CPPUNIT_TEST(TheOnlyTargetLeftGetsNothingEither);
-    CPPUNIT_TEST(SoDoesOneThatTellsNoLoad);
-    CPPUNIT_TEST(AHealthAnswerAsksForRestToo);
-    CPPUNIT_TEST(AnotherStartHasAskedForNothing);
-    CPPUNIT_TEST(NoTargetIsChosenThatWantsNothing);
-    CPPUNIT_TEST(APoolThatForgetsIsFound);
+    CPPUNIT_TEST(ATargetGetsNothingDuringItsBackoff);
+    CPPUNIT_TEST(TheOnlyTargetLeftGetsNothingDuringItsBackoff);
+    CPPUNIT_TEST(ATargetWithoutLoadReportsGetsNothingDuringItsBackoff);
+    CPPUNIT_TEST(AHealthAnswerMayAskForABackoff);
+    CPPUNIT_TEST(AnotherIncarnationHasNoBackoff);
+    CPPUNIT_TEST(NoTargetIsChosenDuringItsBackoff);
+    CPPUNIT_TEST(APoolThatForgetsABackoffIsFound);
     CPPUNIT_TEST_SUITE_END();
 
-    // Guards against targets that turn requests away and get more of them as soon as another answer of theirs is good.
-    void ATargetThatAsksForRestGetsNothing()
+    // Guards against a backoff that ends as soon as another answer of the target is good.
+    void ATargetGetsNothingDuringItsBackoff()
     {
         Rig rig;
-        const UsersTarget& refusing = RefusingTarget(&rig);
-        RigTarget(&rig, "other", "svc", "dc-b"); // Farther away: the other one is asked first.
+        const UsersTarget& refusing = AddRefusingTarget(&rig);
+        RigTarget(&rig, "other", "svc", "dc-b"); // In another data centre, so that the refusing target is preferred.
         RigConfigure(&rig, {UsersRoute()});
         const Gateway& instance = RigInstance(&rig, 2);
         SendMany(&rig, instance, RigCall(), 150);
-        const std::string text = fmt::format("{} requests, {} allowed", LateArrivals(refusing), LateMost);
-        CPPUNIT_ASSERT_MESSAGE(text, LateArrivals(refusing) <= LateMost);
+        const std::string text = fmt::format("{} requests, {} allowed", LateArrivals(refusing), LateArrivalsMax);
+        CPPUNIT_ASSERT_MESSAGE(text, LateArrivals(refusing) <= LateArrivalsMax);
     }
 
     static void CheckRefused(Rig* rig, const Gateway& instance, double least_s)
@@ -82,8 +84,8 @@
         CPPUNIT_ASSERT(std::stod(*FindHeader(answer.Answer.Headers, "Retry-After")) >= least_s);
     }
 
-    // Nor is it asked for its load. Callers are told a time that follows from its own, as far as they wait.
-    void TheOnlyTargetLeftGetsNothingEither()
+    // The target is not probed either. Retry-After for callers follows from the backoff, capped to the time that callers wait.
+    void TheOnlyTargetLeftGetsNothingDuringItsBackoff()
     {
         Rig rig;
         UsersTarget& target = RigTarget(&rig, "t");
@@ -95,13 +97,13 @@
         const int asked = target.HealthAsked;
         for (int n = 0; n < 20; n++)
         {
-            CheckRefused(&rig, instance, 0.9); // Half of the two seconds that callers wait, less what has passed.
+            CheckRefused(&rig, instance, 0.9); // Half of the caller's two seconds, less the time passed.
         }
         CPPUNIT_ASSERT_EQUAL(size_t{1}, target.Arrivals.size());
         CPPUNIT_ASSERT_EQUAL(asked, target.HealthAsked);
     }
 
-    void SoDoesOneThatTellsNoLoad()
+    void ATargetWithoutLoadReportsGetsNothingDuringItsBackoff()
     {
         Rig rig;
         UsersTarget& target = RigTarget(&rig, "t");
@@ -116,7 +118,7 @@
         CPPUNIT_ASSERT_EQUAL(size_t{2}, target.Arrivals.size());
     }
 
-    void AHealthAnswerAsksForRestToo()
+    void AHealthAnswerMayAskForABackoff()
     {
         Rig rig;
         UsersTarget& target = RigTarget(&rig, "t");
@@ -131,7 +133,7 @@
         CPPUNIT_ASSERT_EQUAL(asked, target.HealthAsked);
     }
 
-    void AnotherStartHasAskedForNothing()
+    void AnotherIncarnationHasNoBackoff()
     {
         Rig rig;
         UsersTarget& target = RigTarget(&rig, "t");
@@ -147,15 +149,15 @@
         CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status);
     }
 
-    // A pool of a few targets that come, go, start again, answer and ask for rest in any order, beside a model that only remembers until
-    // when each life of a target wants nothing. False if a target was chosen that wants nothing. `forget`: planted, the pool forgets it
-    // when the target answers well.
+    // Runs random changes of a few targets (added, removed, restarted, answered, backoff) on a pool, beside a model that holds only the end
+    // of each incarnation's backoff. Returns false if a target was chosen during its backoff. `forget`: injected fault, the pool drops the
+    // backoff when the target answers well.
     static bool KeepsBackoffs(Dice* dice, bool forget)
     {
         constexpr int64_t ids = 4;
         TargetPool pool;
         TimeUs now = UsPerSecond;
-        std::map<std::string, TimeUs> wants_nothing_until; // By life.
+        std::map<std::string, TimeUs> backoff_until; // By incarnation.
         std::vector<uint64_t> lives(ids, 1);
         for (int step = 0; step < 200; step++)
         {
@@ -167,14 +169,14 @@
             case 0:
             {
                 const TimeUs until = now + dice->Between(0, 3000) * UsPerMs;
-                TimeUs& known = wants_nothing_until[TargetLife(id, lives[n])];
+                TimeUs& known = backoff_until[TargetLife(id, lives[n])];
                 known = std::max(known, until);
                 PoolBackOff(&pool, id, lives[n], until, now);
                 break;
             }
             case 1:
                 lives[n] += dice->OneIn(4) ? 1 : 0;
-                FollowSome(&pool, lives, dice);
+                UpdatePool(&pool, lives, dice);
                 break;
             case 2:
                 Answer(&pool, id, forget);
@@ -182,7 +184,7 @@
             default:
                 for (PoolTarget* target : {PoolNext(&pool, {}, dice->OneIn(2), now), PoolNextUnasked(&pool, {}, false, now, &dice->Rng)})
                 {
-                    if (target != nullptr && now < wants_nothing_until[TargetLife(target->Id, target->Life)])
+                    if (target != nullptr && now < backoff_until[TargetLife(target->Id, target->Life)])
                     {
                         return false;
                     }
@@ -192,7 +194,7 @@
         return true;
     }
 
-    static void FollowSome(TargetPool* pool, const std::vector<uint64_t>& lives, Dice* dice)
+    static void UpdatePool(TargetPool* pool, const std::vector<uint64_t>& lives, Dice* dice)
     {
         std::vector<DirectoryTarget> listed;
         for (size_t n = 0; n < lives.size(); n++)
@@ -222,7 +224,7 @@
         }
     }
 
-    void NoTargetIsChosenThatWantsNothing()
+    void NoTargetIsChosenDuringItsBackoff()
     {
         CHECK_PROPERTY("no target is chosen that wants nothing",
                        []()
@@ -232,7 +234,7 @@
                        });
     }
 
-    void APoolThatForgetsIsFound()
+    void APoolThatForgetsABackoffIsFound()
     {
         CHECK_FINDS_FAULT("a target is chosen that wants nothing",
                           []()
