--- a/tests/target_signals_test.cpp
+++ b/tests/target_signals_test.cpp
@@ -1,4 +1,6 @@
-// target_signals_test.cpp: what targets say of themselves in the headers of their answers: how it is read, and in which answers.
+// target_signals_test.cpp: signals in the headers of targets' answers: limit, backoff, draining.
+//
+// Guards against values that are read wrongly, and against signals that are missed or taken from the wrong kind of answer.
 
 #include "gateway_rig.h"
 #include "target_signals.h"
@@ -29,16 +31,16 @@
     CPPUNIT_TEST(ReadsLimits);
     CPPUNIT_TEST(ReadsHowLongToBackOff);
     CPPUNIT_TEST(OnlyRefusalsAskToBackOff);
-    CPPUNIT_TEST(LeavesWhereItSaysSo);
-    CPPUNIT_TEST(AnyValueIsReadOrPassedOver);
-    CPPUNIT_TEST(CountsInAnswersOfAnyKind);
-    CPPUNIT_TEST(WhatAnotherTargetSaysDoesNotCount);
-    CPPUNIT_TEST(TrailersAndInterimAnswersSayNothing);
-    CPPUNIT_TEST(ATargetThatSaysThatItLeavesGetsNothingMore);
-    CPPUNIT_TEST(AHealthAnswerSaysItToo);
-    CPPUNIT_TEST(AnotherStartDoesNotLeave);
-    CPPUNIT_TEST(WhoLeavesHasNotEndedUnderARequest);
-    CPPUNIT_TEST(ATargetThatIsNotWellSaysThatItIsColdAllTheSame);
+    CPPUNIT_TEST(ReadsDraining);
+    CPPUNIT_TEST(AnyValueIsReadOrIgnored);
+    CPPUNIT_TEST(SignalsCountInAnswersOfAnyKind);
+    CPPUNIT_TEST(SignalsOfAnotherTargetDoNotCount);
+    CPPUNIT_TEST(TrailersAndInterimAnswersAreIgnored);
+    CPPUNIT_TEST(ADrainingTargetGetsNothingMore);
+    CPPUNIT_TEST(AHealthAnswerMayAnnounceDraining);
+    CPPUNIT_TEST(AnotherIncarnationDoesNotDrain);
+    CPPUNIT_TEST(ADrainingTargetHasNotCrashed);
+    CPPUNIT_TEST(AnUnhealthyTargetMayReportThatItIsCold);
     CPPUNIT_TEST_SUITE_END();
 
     void ReadsLimits()
@@ -74,19 +76,19 @@
             CPPUNIT_ASSERT(!Read(status, {{"Retry-After", "3"}}).BackoffUs);
         }
         CPPUNIT_ASSERT(Read(429, {{"Retry-After", "3"}}).BackoffUs);
-        // By the clock that the answer was made by, where it names it.
+        // Relative to the Date header, if there is one.
         const std::vector<Header> dates = {{"Date", "Thu, 01 Jan 2026 09:00:00 GMT"}, {"Retry-After", "Thu, 01 Jan 2026 09:00:02 GMT"}};
         CPPUNIT_ASSERT_EQUAL(2 * UsPerSecond, Read(503, dates).BackoffUs.value());
     }
 
-    void LeavesWhereItSaysSo()
+    void ReadsDraining()
     {
         CPPUNIT_ASSERT(Read(200, {{"x-winchlink-leaving", "1"}}).Leaving);
         CPPUNIT_ASSERT(!Read(200, {{"X-Winchlink-Leaving", "0"}}).Leaving);
         CPPUNIT_ASSERT(!Read(200, {}).Leaving);
     }
 
-    void AnyValueIsReadOrPassedOver()
+    void AnyValueIsReadOrIgnored()
     {
         CHECK_PROPERTY("what is read lies in its range, whatever the bytes",
                        [](const std::string& text)
@@ -98,13 +100,13 @@
                        });
     }
 
-    static uint64_t Heard(const Gateway& instance)
+    static uint64_t LimitSignals(const Gateway& instance)
     {
         return instance.Requests.Services.at("svc").Signals.Limits;
     }
 
-    // Answers that are passed on, that are none for the caller, that are cut off behind their headers, or that answer a health question.
-    void CountsInAnswersOfAnyKind()
+    // Answers that are passed on, that cause a retry, that are cut off after their headers, or that answer a probe.
+    void SignalsCountInAnswersOfAnyKind()
     {
         for (const TargetAct_ act : {TargetAct_Good, TargetAct_Failed, TargetAct_Shed, TargetAct_BareShed, TargetAct_CutShort,
                                      TargetAct_Unsigned, TargetAct_Encoded, TargetAct_NoLengthReset})
@@ -118,24 +120,24 @@
             target.Says = {{"Server-Limit", "100"}};
             RigAsk(&rig, instance, RigCall());
             const std::string text = "act " + std::to_string(act);
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(text, uint64_t{2}, Heard(instance)); // The health answer, and the answer to the request.
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(text, uint64_t{2}, LimitSignals(instance)); // The health answer, and the answer to the request.
         }
     }
 
-    void WhatAnotherTargetSaysDoesNotCount()
+    void SignalsOfAnotherTargetDoNotCount()
     {
         Rig rig;
         UsersTarget& target = RigTarget(&rig, "t");
         RigConfigure(&rig, {UsersRoute()});
         const Gateway& instance = RigInstance(&rig, 1);
         CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status);
-        target.Id = "another"; // It has the address now; health answers and 421 name it.
+        target.Id = "another"; // Another target has the address now; health answers and 421 name it.
         target.Says = {{"Server-Limit", "100"}};
         RigAsk(&rig, instance, RigCall());
-        CPPUNIT_ASSERT_EQUAL(uint64_t{0}, Heard(instance));
+        CPPUNIT_ASSERT_EQUAL(uint64_t{0}, LimitSignals(instance));
     }
 
-    void TrailersAndInterimAnswersSayNothing()
+    void TrailersAndInterimAnswersAreIgnored()
     {
         Rig rig;
         UsersTarget& target = RigTarget(&rig, "t");
@@ -143,12 +145,11 @@
         const Gateway& instance = RigInstance(&rig, 1);
         target.Script = {TargetAct_Trailers};
         CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status);
-        CPPUNIT_ASSERT_EQUAL(uint64_t{0}, Heard(instance));
+        CPPUNIT_ASSERT_EQUAL(uint64_t{0}, LimitSignals(instance));
     }
 
-    // Guards against requests to a target that leaves, from an instance that has its word in an answer and not yet from the store: the
-    // entry says "ready" throughout.
-    void ATargetThatSaysThatItLeavesGetsNothingMore()
+    // Guards against requests to a target that announced in an answer that it drains, while its directory entry still says "ready".
+    void ADrainingTargetGetsNothingMore()
     {
         Rig rig;
         UsersTarget& target = RigTarget(&rig, "t");
@@ -161,12 +162,12 @@
         for (int n = 0; n < 30; n++)
         {
             CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status);
-            UsersStoreTarget(&rig.Store, "t", "svc", target.Address, "dc-a"); // Its entry changes, and says "ready" still.
+            UsersStoreTarget(&rig.Store, "t", "svc", target.Address, "dc-a"); // Its entry changes, but still says "ready".
         }
         CPPUNIT_ASSERT(target.Arrivals.size() <= 1);
     }
 
-    void AHealthAnswerSaysItToo()
+    void AHealthAnswerMayAnnounceDraining()
     {
         Rig rig;
         UsersTarget& target = RigTarget(&rig, "t");
@@ -178,7 +179,7 @@
         CPPUNIT_ASSERT_EQUAL(static_cast<int>(Presence_Leaving), static_cast<int>(instance.Requests.Directory.Targets.at("t").Presence));
     }
 
-    void AnotherStartDoesNotLeave()
+    void AnotherIncarnationDoesNotDrain()
     {
         Rig rig;
         UsersTarget& target = RigTarget(&rig, "t");
@@ -194,7 +195,7 @@
         CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status);
     }
 
-    void ATargetThatIsNotWellSaysThatItIsColdAllTheSame()
+    void AnUnhealthyTargetMayReportThatItIsCold()
     {
         Rig rig;
         UsersTarget& target = RigTarget(&rig, "t");
@@ -206,8 +207,8 @@
         CPPUNIT_ASSERT(instance.Requests.Services.at("svc").Pool.Targets.front().WarmUntilUs > 0);
     }
 
-    // A planned end says nothing against the requests that were there.
-    void WhoLeavesHasNotEndedUnderARequest()
+    // The removal of a draining target's entry is no crash.
+    void ADrainingTargetHasNotCrashed()
     {
         TargetDirectory directory;
         DirectoryTarget target;
