--- a/tests/quota_link_test.cpp
+++ b/tests/quota_link_test.cpp
@@ -1,4 +1,6 @@
-// quota_link_test.cpp: datagrams between instances of customers' quotas: their bytes, and instances that keep a quota together.
+// quota_link_test.cpp: quota datagrams between instances: their encoding, and instances that enforce a quota together.
+//
+// Guards against messages that are decoded wrongly or accepted when malformed, and against quotas that are enforced per instance.
 
 #include "gateway_rig.h"
 #include "process.h"
@@ -22,31 +24,31 @@
     return message;
 }
 
-// Instances that find each other: addresses of their own on this machine, and one port for all datagrams.
-static Settings SettingsOf(const Rig& rig, int number, int port, const std::vector<std::string>& contacts)
+// Settings with an address of its own on this machine and one datagram port for all instances.
+static Settings SettingsOf(const Rig& rig, int number, int port, const std::vector<std::string>& seeds)
 {
     Settings settings = RigSettings(rig);
     const std::string ip = fmt::format("127.0.0.{}", 10 + number);
     settings.PeerAddress = fmt::format("{}:{}", ip, FreePort(ip.c_str()));
     settings.DatagramPort = port;
-    settings.Peers = contacts;
+    settings.Peers = seeds;
     return settings;
 }
 
 class QuotaLinkTest : public CPPUNIT_NS::TestFixture
 {
     CPPUNIT_TEST_SUITE(QuotaLinkTest);
-    CPPUNIT_TEST(MessagesSurviveTheirBytes);
-    CPPUNIT_TEST(NamedLimitsSurviveTheirBytes);
-    CPPUNIT_TEST(LimitsThatMakeNoSenseArePassedOver);
+    CPPUNIT_TEST(MessagesSurviveEncoding);
+    CPPUNIT_TEST(LimitsSurviveEncoding);
+    CPPUNIT_TEST(InvalidLimitsAreIgnored);
     CPPUNIT_TEST(BytesThatAreNoMessageAreRefused);
     CPPUNIT_TEST(AReportOfManyCustomersFitsPackets);
-    CPPUNIT_TEST(WhoIsBeyondItsQuotaIsRefusedAtOnce);
-    CPPUNIT_TEST(WhatNoTargetRanDoesNotCount);
+    CPPUNIT_TEST(ACustomerAboveItsQuotaIsRefusedAtOnce);
+    CPPUNIT_TEST(RequestsThatNoTargetRanDoNotCount);
     CPPUNIT_TEST(InstancesKeepAQuotaTogether);
     CPPUNIT_TEST_SUITE_END();
 
-    void MessagesSurviveTheirBytes()
+    void MessagesSurviveEncoding()
     {
         const Result<QuotaMessage> report = DecodeQuota(EncodeQuota(Report(3)));
         CPPUNIT_ASSERT(bool(report));
@@ -64,7 +66,7 @@
         CPPUNIT_ASSERT_EQUAL(0.5, back.value().Answer.Covered);
     }
 
-    void NamedLimitsSurviveTheirBytes()
+    void LimitsSurviveEncoding()
     {
         QuotaMessage message = Report(1);
         message.Subject = QuotaSubject_Targets;
@@ -78,7 +80,7 @@
         CPPUNIT_ASSERT_EQUAL(30 * UsPerMs, back.value().Report.Named[0].AgeUs);
     }
 
-    void LimitsThatMakeNoSenseArePassedOver()
+    void InvalidLimitsAreIgnored()
     {
         Quota quota;
         const TimeUs now = 1000 * UsPerSecond;
@@ -101,7 +103,8 @@
         {
             std::string bad = good;
             bad[n] = static_cast<char>(bad[n] ^ 0x5a);
-            CPPUNIT_ASSERT(!DecodeQuota(bad) || n == 0); // The first byte says which kind: a report is one to a first contact as well.
+            CPPUNIT_ASSERT(!DecodeQuota(bad) ||
+                           n == 0); // The first byte is the kind: a report to a source and one to a seed have the same format.
             CPPUNIT_ASSERT(!DecodeQuota(good.substr(0, n)));
         }
         Quota quota;
@@ -138,8 +141,8 @@
         CPPUNIT_ASSERT_EQUAL(size_t{500}, entries);
     }
 
-    // One instance by itself is the whole fleet.
-    void WhoIsBeyondItsQuotaIsRefusedAtOnce()
+    // A fleet of one instance.
+    void ACustomerAboveItsQuotaIsRefusedAtOnce()
     {
         Rig rig;
         RigTarget(&rig, "t").WorkUs = UsPerMs;
@@ -161,13 +164,13 @@
         }
         const double bound = (2 * 5 + 2) * 1.25 + 20;
         CPPUNIT_ASSERT_EQUAL(400, served + refused);
-        CPPUNIT_ASSERT(served <= 2 * bound); // It takes less than two windows.
+        CPPUNIT_ASSERT(served <= 2 * bound); // The run takes less than two windows.
         CPPUNIT_ASSERT(refused > 0);
         CPPUNIT_ASSERT_EQUAL(uint64_t{400},
                              instance.Requests.ByCustomer.at("anne").Admitted + instance.Requests.ByCustomer.at("anne").Refused);
     }
 
-    void WhatNoTargetRanDoesNotCount()
+    void RequestsThatNoTargetRanDoNotCount()
     {
         Quota quota;
         quota.Decides = true;
@@ -179,11 +182,11 @@
         CPPUNIT_ASSERT_EQUAL(1.0, QuotaReports(quota, UsPerSecond)[0].Entries[0].Count.Admitted);
         QuotaReturn(&quota, 1, UsPerSecond);
         CPPUNIT_ASSERT_EQUAL(0.0, QuotaReports(quota, UsPerSecond)[0].Entries[0].Count.Admitted);
-        QuotaReturn(&quota, 1, UsPerSecond); // Once is enough.
+        QuotaReturn(&quota, 1, UsPerSecond); // A second refund has no effect.
         CPPUNIT_ASSERT_EQUAL(0.0, QuotaReports(quota, UsPerSecond)[0].Entries[0].Count.Admitted);
     }
 
-    // A first contact and two that follow it: all hear how many they are, and one that asks at one of them is refused by the others too.
+    // A seed and two followers learn the size of the fleet, and all of them limit a customer whose requests come to one of them.
     void InstancesKeepAQuotaTogether()
     {
         Rig rig;
@@ -191,9 +194,9 @@
         RigConfigureFor(&rig, {UsersRoute()}, {{"anne", {"k"}, 2, 2}});
         const int port = FreePort("127.0.0.10");
         const Settings first = SettingsOf(rig, 0, port, {});
-        Settings contact = first;
-        contact.Peers = {first.PeerAddress};
-        std::vector<Gateway*> instances = {&RigStartWith(&rig, contact)};
+        Settings seed_settings = first;
+        seed_settings.Peers = {first.PeerAddress};
+        std::vector<Gateway*> instances = {&RigStartWith(&rig, seed_settings)};
         for (const int number : {1, 2})
         {
             instances.push_back(&RigStartWith(&rig, SettingsOf(rig, number, port, {first.PeerAddress})));
