--- a/tests/returns_test.cpp
+++ b/tests/returns_test.cpp
@@ -1,4 +1,6 @@
-// returns_test.cpp: the schedule of refused callers: near places in a short overload, far ones in a long one, none together.
+// returns_test.cpp: the schedule of retry times for refused callers.
+//
+// Guards against callers that all retry at the same moment, or that wait too long after a short overload.
 
 #include "gateway_rig.h"
 
@@ -7,7 +9,7 @@
 
 static constexpr TimeUs StepUs = 100 * UsPerMs;
 
-// Serves and refuses at fixed rates for a while, and returns the places that were given out, as times.
+// Serves and refuses a fixed number of requests per step from `from` on for `time`. Returns the retry times that were assigned.
 static std::vector<TimeUs> Play(ReturnSchedule* schedule, Random* random, TimeUs from, TimeUs time, int served, int refused)
 {
     std::vector<TimeUs> places;
@@ -42,16 +44,16 @@
 class ReturnsTest : public CPPUNIT_NS::TestFixture
 {
     CPPUNIT_TEST_SUITE(ReturnsTest);
-    CPPUNIT_TEST(OneRefusalComesBackSoon);
+    CPPUNIT_TEST(OneRefusedCallerReturnsSoon);
     CPPUNIT_TEST(AStartIsNotTakenForAnOverload);
     CPPUNIT_TEST(ALongOverloadKeepsCallersAwayLonger);
     CPPUNIT_TEST(TheScheduleEmptiesWhenTheOverloadIsOver);
     CPPUNIT_TEST(CallersDoNotReturnTogether);
-    CPPUNIT_TEST(PlacesStayWithinTheirBounds);
-    CPPUNIT_TEST(ARefusedCallerIsNotSentBeyondItsDeadline);
+    CPPUNIT_TEST(RetryTimesStayWithinTheirBounds);
+    CPPUNIT_TEST(RetryTimesStayWithinTheCallersDeadline);
     CPPUNIT_TEST_SUITE_END();
 
-    void OneRefusalComesBackSoon()
+    void OneRefusedCallerReturnsSoon()
     {
         ReturnSchedule schedule;
         Random random(1);
@@ -60,7 +62,7 @@
         CPPUNIT_ASSERT(wait >= schedule.LeastUs * 8 / 10 && wait <= schedule.LeastUs * 12 / 10);
     }
 
-    // After a start nothing has been served yet, which says nothing about the targets.
+    // After a start nothing has been served yet; this is no sign of an overload.
     void AStartIsNotTakenForAnOverload()
     {
         ReturnSchedule schedule;
@@ -89,20 +91,20 @@
         CPPUNIT_ASSERT(wait <= schedule.LeastUs * 12 / 10);
     }
 
-    // Refused within one step, they return at the rate that the share of the service allows; a fixed time brings them back at once.
+    // Callers refused within one step return at the rate that the schedule allows; with a fixed wait they all return at once.
     void CallersDoNotReturnTogether()
     {
         ReturnSchedule schedule;
-        schedule.Spread = 0; // What is counted is the schedule's own spacing.
+        schedule.Spread = 0; // Without jitter, so that the schedule's own spacing is counted.
         Random random(1);
-        Play(&schedule, &random, 0, 10 * UsPerSecond, 2, 0); // 20 a second.
+        Play(&schedule, &random, 0, 10 * UsPerSecond, 2, 0); // 20 served a second.
         const std::vector<TimeUs> places = Play(&schedule, &random, 10 * UsPerSecond, StepUs, 0, 15);
         CPPUNIT_ASSERT(MostInOneSecond(places) <= 6);
         schedule.MostUs = schedule.LeastUs;
         CPPUNIT_ASSERT_EQUAL(15, MostInOneSecond(Play(&schedule, &random, 30 * UsPerSecond, StepUs, 0, 15)));
     }
 
-    void PlacesStayWithinTheirBounds()
+    void RetryTimesStayWithinTheirBounds()
     {
         const auto within = []()
         {
@@ -125,12 +127,12 @@
         CHECK_PROPERTY("places are between the least and the most, whatever was served and refused", within);
     }
 
-    // Half of the time it has left, at the latest: it must still be served then.
-    void ARefusedCallerIsNotSentBeyondItsDeadline()
+    // Retry-After is at most half of the caller's remaining time, so that the retry can still be served.
+    void RetryTimesStayWithinTheCallersDeadline()
     {
         Rig rig;
         UsersTarget& target = RigTarget(&rig, "t1");
-        target.Running = target.Slots; // Busy for good.
+        target.Running = target.Slots; // Never has a free slot.
         RigConfigure(&rig, {UsersRoute()});
         const Gateway& instance = RigInstance(&rig, 1);
         std::vector<RigAnswerPtr> answers;
@@ -147,7 +149,7 @@
             CPPUNIT_ASSERT_EQUAL(503, answer->Answer.Status);
             longest = std::max(longest, std::stod(*FindHeader(answer->Answer.Headers, "Retry-After")));
         }
-        CPPUNIT_ASSERT(longest > 0.4); // The schedule has filled,
+        CPPUNIT_ASSERT(longest > 0.4); // The schedule spreads the callers,
         CPPUNIT_ASSERT(longest <= 0.75);
     }
 };
