--- a/tests/quarantine_load_test.cpp
+++ b/tests/quarantine_load_test.cpp
@@ -25,8 +25,8 @@
 {
     QuarantineRule_ Rule = QuarantineRule_Full;
     size_t Instances = 30;
-    int CrashingRequests = 1;  // Requests that crash targets.
-    int HarmlessRequests = 40; // Harmless requests.
+    int CrashingRequests = 1; // Requests that crash targets.
+    int HarmlessRequests = 40;
     TimeUs KillIntervalUs = 0; // Interval at which targets are killed; 0: never.
     int KillCount = 1;         // Targets that are killed together.
     bool Silently = false;     // Targets crash without closing their connections.
--- a/tests/quota_fleet.cpp
+++ b/tests/quota_fleet.cpp
@@ -33,7 +33,7 @@
     QuotaFleetInstance& one = fleet->Instances[static_cast<size_t>(instance)];
     one.Known = Quota();
     one.Known.Config = fleet->Config;
-    one.Known.Decides = IsSeedInstance(instance) || fleet->Alone;
+    one.Known.Decides = IsSeedInstance(instance) || fleet->Isolated;
     one.Known.StartedUs = fleet->Now;
     one.Parent = ParentOf(instance);
     one.NextUs = fleet->Now + std::uniform_int_distribution<TimeUs>(0, TickUs)(fleet->Rng);
@@ -55,11 +55,11 @@
     customer.RatePerS = rate;
     customer.Burst = burst;
     CPPUNIT_ASSERT(bool(AddCustomer(&fleet->All, customer)));
-    QuotaFleetCustomer asking;
-    asking.Index = fleet->All.List.size() - 1;
-    asking.AskedPerS = asked;
-    fleet->Asking.push_back(asking);
-    return fleet->Asking.size() - 1;
+    QuotaFleetCustomer load;
+    load.Index = fleet->All.List.size() - 1;
+    load.RequestedPerS = asked;
+    fleet->Loads.push_back(load);
+    return fleet->Loads.size() - 1;
 }
 
 size_t QuotaFleetAdd(QuotaFleet* fleet, double rate, double asked)
@@ -77,19 +77,19 @@
 size_t QuotaFleetAddTarget(QuotaFleet* fleet, double limit, double asked)
 {
     const size_t target = Add(fleet, limit, 0, asked);
-    fleet->Asking[target].IsTarget = true;
+    fleet->Loads[target].IsTarget = true;
     QuotaFleetSetLimit(fleet, target, limit);
     return target;
 }
 
 void QuotaFleetSetLimit(QuotaFleet* fleet, size_t target, std::optional<double> limit)
 {
-    QuotaFleetCustomer& asking = fleet->Asking[target];
-    asking.Names = limit.has_value();
-    asking.NamedUs = fleet->Now;
-    asking.MostInWindow = 0;
-    asking.Runs.clear();
-    fleet->All.List[asking.Index].RatePerS = limit.value_or(0);
+    QuotaFleetCustomer& load = fleet->Loads[target];
+    load.NamesLimit = limit.has_value();
+    load.LimitSinceUs = fleet->Now;
+    load.MaxInWindow = 0;
+    load.AdmittedUs.clear();
+    fleet->All.List[load.Index].RatePerS = limit.value_or(0);
 }
 
 static bool IsUp(const QuotaFleet& fleet, int instance)
@@ -101,14 +101,14 @@
 // Whether the instance sends reports and answers.
 static bool SendsMessages(const QuotaFleet& fleet, const Quota& known)
 {
-    return !fleet.Alone && (!fleet.OfTargets || !known.Named.empty());
+    return !fleet.Isolated && (!fleet.OfTargets || !known.Named.empty());
 }
 
 static void Post(QuotaFleet* fleet, QuotaFleetMessage message)
 {
-    const int from_side = fleet->Instances[static_cast<size_t>(message.From)].Side;
-    const int to_side = fleet->Instances[static_cast<size_t>(message.To)].Side;
-    const bool lost = std::uniform_real_distribution<double>(0, 1)(fleet->Rng) < fleet->Lost;
+    const int from_side = fleet->Instances[static_cast<size_t>(message.From)].PartitionId;
+    const int to_side = fleet->Instances[static_cast<size_t>(message.To)].PartitionId;
+    const bool lost = std::uniform_real_distribution<double>(0, 1)(fleet->Rng) < fleet->LossProbability;
     fleet->DatagramsSent++;
     if (from_side == to_side && !lost)
     {
@@ -133,23 +133,23 @@
     }
 }
 
-static void PostReportsTo(QuotaFleet* fleet, int from, int to, bool contact)
+static void PostReportsTo(QuotaFleet* fleet, int from, int to, bool to_seed)
 {
     for (const QuotaReport& report : QuotaReports(fleet->Instances[static_cast<size_t>(from)].Known, fleet->Now))
     {
-        Post(fleet, {0, from, to, contact, report, std::nullopt});
+        Post(fleet, {0, from, to, to_seed, report, std::nullopt});
     }
 }
 
 static void PostReports(QuotaFleet* fleet, int from)
 {
     const int parent = fleet->Instances[static_cast<size_t>(from)].Parent;
-    const int contacts = std::min(SeedCountMax, static_cast<int>(fleet->Instances.size()));
-    for (int contact = 0; IsSeedInstance(from) && contact < contacts; contact++)
+    const int seeds = std::min(SeedCountMax, static_cast<int>(fleet->Instances.size()));
+    for (int seed = 0; IsSeedInstance(from) && seed < seeds; seed++)
     {
-        if (contact != from)
+        if (seed != from)
         {
-            PostReportsTo(fleet, from, contact, true);
+            PostReportsTo(fleet, from, seed, true);
         }
     }
     if (parent >= 0)
@@ -164,15 +164,15 @@
     QuotaFleetInstance& one = fleet->Instances[static_cast<size_t>(instance)];
     const auto reaches = [&](int other)
     {
-        return other >= 0 && IsUp(*fleet, other) && fleet->Instances[static_cast<size_t>(other)].Side == one.Side;
+        return other >= 0 && IsUp(*fleet, other) && fleet->Instances[static_cast<size_t>(other)].PartitionId == one.PartitionId;
     };
     if (IsSeedInstance(instance) || reaches(one.Parent))
     {
         return;
     }
-    for (int contact = 0; contact < SeedCountMax; contact++)
+    for (int seed = 0; seed < SeedCountMax; seed++)
     {
-        one.Parent = reaches(contact) ? contact : one.Parent;
+        one.Parent = reaches(seed) ? seed : one.Parent;
     }
 }
 
@@ -232,9 +232,9 @@
         }
         return;
     }
-    const bool unknown = QuotaHeardReport(&known, NameOf(message.From), *message.Report, message.Contact, fleet->Now);
+    const bool unknown = QuotaHeardReport(&known, NameOf(message.From), *message.Report, message.ToSeed, fleet->Now);
     Decide(fleet, message.To);
-    if (!message.Contact)
+    if (!message.ToSeed)
     {
         PostAnswers(fleet, message.To, message.From);
     }
@@ -246,61 +246,61 @@
 
 static int DrawInstance(QuotaFleet* fleet)
 {
-    if (fleet->Pull.empty())
+    if (fleet->Weights.empty())
     {
         for (size_t n = 0; n < fleet->Instances.size(); n++)
         {
-            fleet->Pull.push_back(std::uniform_real_distribution<double>(1, fleet->Uneven + 0.001)(fleet->Rng));
+            fleet->Weights.push_back(std::uniform_real_distribution<double>(1, fleet->LoadRatioMax + 0.001)(fleet->Rng));
         }
     }
     int drawn = 0;
     do
     {
-        drawn = std::discrete_distribution<int>(fleet->Pull.begin(), fleet->Pull.end())(fleet->Rng);
+        drawn = std::discrete_distribution<int>(fleet->Weights.begin(), fleet->Weights.end())(fleet->Rng);
     } while (!IsUp(*fleet, drawn));
     return drawn;
 }
 
 // Whether the instance admits a request to the target. The target's answer arrives at once.
-static bool SendToTarget(QuotaFleet* fleet, QuotaFleetInstance* one, const QuotaFleetCustomer& asking)
+static bool SendToTarget(QuotaFleet* fleet, QuotaFleetInstance* one, const QuotaFleetCustomer& load)
 {
-    const Customer& target = fleet->All.List[asking.Index];
+    const Customer& target = fleet->All.List[load.Index];
     const bool taken = QuotaTakeNamed(&one->Known, target.Id, fleet->Now, &fleet->Rng);
     if (taken)
     {
-        QuotaName(&one->Known, target.Id, asking.Names ? std::optional<double>(target.RatePerS) : std::nullopt, fleet->Now);
+        QuotaName(&one->Known, target.Id, load.NamesLimit ? std::optional<double>(target.RatePerS) : std::nullopt, fleet->Now);
     }
     return taken;
 }
 
-static bool Send(QuotaFleet* fleet, QuotaFleetInstance* one, QuotaFleetCustomer* asking)
+static bool Send(QuotaFleet* fleet, QuotaFleetInstance* one, QuotaFleetCustomer* load)
 {
-    const Customer& customer = fleet->All.List[asking->Index];
-    return asking->IsTarget ? SendToTarget(fleet, one, *asking) : QuotaTake(&one->Known, customer, fleet->Now, &fleet->Rng);
+    const Customer& customer = fleet->All.List[load->Index];
+    return load->IsTarget ? SendToTarget(fleet, one, *load) : QuotaTake(&one->Known, customer, fleet->Now, &fleet->Rng);
 }
 
-static void SendRequest(QuotaFleet* fleet, QuotaFleetCustomer* asking)
+static void SendRequest(QuotaFleet* fleet, QuotaFleetCustomer* load)
 {
     constexpr TimeUs spread_us = UsPerSecond;    // Time a new limit needs to reach all instances; requests before are not counted.
     constexpr TimeUs named_us = 3 * UsPerSecond; // Windows that end earlier than this after a change are not counted.
-    asking->Asked++;
-    if (!Send(fleet, &fleet->Instances[static_cast<size_t>(DrawInstance(fleet))], asking))
+    load->Requested++;
+    if (!Send(fleet, &fleet->Instances[static_cast<size_t>(DrawInstance(fleet))], load))
     {
         return;
     }
-    asking->Admitted++;
-    if (asking->IsTarget && fleet->Now < asking->NamedUs + spread_us)
+    load->Admitted++;
+    if (load->IsTarget && fleet->Now < load->LimitSinceUs + spread_us)
     {
         return;
     }
-    asking->Runs.push_back(fleet->Now);
-    while (asking->Runs.front() <= fleet->Now - fleet->Config.WindowUs)
+    load->AdmittedUs.push_back(fleet->Now);
+    while (load->AdmittedUs.front() <= fleet->Now - fleet->Config.WindowUs)
     {
-        asking->Runs.pop_front();
+        load->AdmittedUs.pop_front();
     }
-    if (!asking->IsTarget || fleet->Now >= asking->NamedUs + named_us)
+    if (!load->IsTarget || fleet->Now >= load->LimitSinceUs + named_us)
     {
-        asking->MostInWindow = std::max(asking->MostInWindow, asking->Runs.size());
+        load->MaxInWindow = std::max(load->MaxInWindow, load->AdmittedUs.size());
     }
 }
 
@@ -311,13 +311,13 @@
     {
         any_up = IsUp(*fleet, static_cast<int>(n));
     }
-    for (QuotaFleetCustomer& asking : fleet->Asking)
+    for (QuotaFleetCustomer& load : fleet->Loads)
     {
-        const double due = asking.AskedPerS * static_cast<double>(TickUs) / static_cast<double>(UsPerSecond);
+        const double due = load.RequestedPerS * static_cast<double>(TickUs) / static_cast<double>(UsPerSecond);
         const int count = any_up ? std::poisson_distribution<int>(due + 1e-9)(fleet->Rng) : 0;
         for (int n = 0; n < count; n++)
         {
-            SendRequest(fleet, &asking);
+            SendRequest(fleet, &load);
         }
     }
 }
@@ -350,18 +350,18 @@
     one.NextUs = one.DownUntilUs;
 }
 
-double QuotaFleetBound(const QuotaFleet& fleet, const QuotaFleetCustomer& asking)
+double QuotaFleetBound(const QuotaFleet& fleet, const QuotaFleetCustomer& load)
 {
-    const Customer& customer = fleet.All.List[asking.Index];
+    const Customer& customer = fleet.All.List[load.Index];
     const double window = static_cast<double>(fleet.Config.WindowUs) / static_cast<double>(UsPerSecond);
     return (customer.RatePerS * window + customer.Burst) * (1 + fleet.Config.Overage) + fleet.Config.Slack;
 }
 
-double QuotaFleetServed(QuotaFleetCustomer* asking)
+double QuotaFleetServed(QuotaFleetCustomer* load)
 {
-    const double served = asking->Asked > 0 ? static_cast<double>(asking->Admitted) / static_cast<double>(asking->Asked) : 1;
-    asking->Asked = 0;
-    asking->Admitted = 0;
+    const double served = load->Requested > 0 ? static_cast<double>(load->Admitted) / static_cast<double>(load->Requested) : 1;
+    load->Requested = 0;
+    load->Admitted = 0;
     return served;
 }
 
--- a/tests/quota_load_test.cpp
+++ b/tests/quota_load_test.cpp
@@ -20,7 +20,7 @@
 static QuotaFleet UsualFleet(int instances, uint64_t seed)
 {
     QuotaFleet fleet(instances, seed);
-    fleet.Uneven = 3;
+    fleet.LoadRatioMax = 3;
     QuotaFleetRun(&fleet, 8 * UsPerSecond);
     for (const double usual : {LargePerS, MiddlePerS, SmallPerS, SmallPerS})
     {
@@ -32,28 +32,28 @@
 
 static void SetHot(QuotaFleet* fleet, double factor)
 {
-    for (QuotaFleetCustomer& asking : fleet->Asking)
+    for (QuotaFleetCustomer& load : fleet->Loads)
     {
-        asking.AskedPerS = fleet->All.List[asking.Index].RatePerS / QuotaShare * factor;
+        load.RequestedPerS = fleet->All.List[load.Index].RatePerS / QuotaShare * factor;
     }
 }
 
 static void CheckBounds(const QuotaFleet& fleet, const std::string& what)
 {
-    for (const QuotaFleetCustomer& asking : fleet.Asking)
+    for (const QuotaFleetCustomer& load : fleet.Loads)
     {
-        const double bound = QuotaFleetBound(fleet, asking);
-        const std::string text = fmt::format("{}: {} in a window, {} allowed", what, asking.MostInWindow, bound);
-        CPPUNIT_ASSERT_MESSAGE(text, static_cast<double>(asking.MostInWindow) <= bound);
+        const double bound = QuotaFleetBound(fleet, load);
+        const std::string text = fmt::format("{}: {} in a window, {} allowed", what, load.MaxInWindow, bound);
+        CPPUNIT_ASSERT_MESSAGE(text, static_cast<double>(load.MaxInWindow) <= bound);
     }
 }
 
 static void CheckServed(QuotaFleet* fleet, double least, const std::string& what)
 {
-    for (QuotaFleetCustomer& asking : fleet->Asking)
+    for (QuotaFleetCustomer& load : fleet->Loads)
     {
-        const double rate = fleet->All.List[asking.Index].RatePerS;
-        const double served = QuotaFleetServed(&asking);
+        const double rate = fleet->All.List[load.Index].RatePerS;
+        const double served = QuotaFleetServed(&load);
         CPPUNIT_ASSERT_MESSAGE(fmt::format("{}: {:.3f} of a customer with {} a second served", what, served, rate), served >= least);
     }
 }
@@ -116,7 +116,7 @@
             int side = 1;
             for (size_t n = SeedCountMax; n < fleet.Instances.size(); n += 6)
             {
-                fleet.Instances[n].Side = side++; // Each in a partition of its own.
+                fleet.Instances[n].PartitionId = side++; // Each in a partition of its own.
             }
             SetHot(&fleet, HotFactor);
             QuotaFleetRun(&fleet, 10 * UsPerSecond);
@@ -131,7 +131,7 @@
             QuotaFleet fleet = UsualFleet(instances, 4);
             for (size_t n = 0; n < fleet.Instances.size(); n++)
             {
-                fleet.Instances[n].Side = n % 2 == 0 ? 0 : 1; // Each side has a seed.
+                fleet.Instances[n].PartitionId = n % 2 == 0 ? 0 : 1; // Each side has a seed.
             }
             SetHot(&fleet, HotFactor);
             QuotaFleetRun(&fleet, 20 * UsPerSecond);
@@ -196,9 +196,9 @@
             QuotaFleetRestart(&fleet, n, std::uniform_int_distribution<TimeUs>(0, UsPerSecond)(fleet.Rng));
         }
         QuotaFleetRun(&fleet, 1500 * UsPerMs);
-        for (QuotaFleetCustomer& asking : fleet.Asking)
+        for (QuotaFleetCustomer& load : fleet.Loads)
         {
-            QuotaFleetServed(&asking); // Resets the counters once all instances are up and connected.
+            QuotaFleetServed(&load); // Resets the counters once all instances are up and connected.
         }
         QuotaFleetRun(&fleet, 8 * UsPerSecond);
         CheckServed(&fleet, 0.97, "all started at once");
@@ -236,9 +236,9 @@
         QuotaFleet fleet = UsualFleet(117, 12);
         SetHot(&fleet, QuotaShare);
         QuotaFleetRun(&fleet, 5 * UsPerSecond);
-        for (QuotaFleetCustomer& asking : fleet.Asking)
+        for (QuotaFleetCustomer& load : fleet.Loads)
         {
-            QuotaFleetServed(&asking);
+            QuotaFleetServed(&load);
         }
         QuotaFleetRun(&fleet, 8 * UsPerSecond);
         CheckServed(&fleet, 0.99, "at its quota");
@@ -250,15 +250,15 @@
     void ALoweredQuotaIsKeptAfterOneWindow()
     {
         QuotaFleet fleet = UsualFleet(117, 8);
-        for (QuotaFleetCustomer& asking : fleet.Asking)
+        for (QuotaFleetCustomer& load : fleet.Loads)
         {
-            fleet.All.List[asking.Index].RatePerS /= 3;
-            fleet.All.List[asking.Index].Burst /= 3;
+            fleet.All.List[load.Index].RatePerS /= 3;
+            fleet.All.List[load.Index].Burst /= 3;
         }
         QuotaFleetRun(&fleet, fleet.Config.WindowUs + UsPerSecond);
-        for (QuotaFleetCustomer& asking : fleet.Asking)
+        for (QuotaFleetCustomer& load : fleet.Loads)
         {
-            asking.MostInWindow = 0;
+            load.MaxInWindow = 0;
         }
         QuotaFleetRun(&fleet, 8 * UsPerSecond);
         CheckBounds(fleet, "lowered");
@@ -268,9 +268,9 @@
     {
         QuotaFleet fleet = UsualFleet(117, 9);
         CheckServed(&fleet, 0.999, "before");
-        for (size_t n = 0; n < fleet.Pull.size(); n++)
+        for (size_t n = 0; n < fleet.Weights.size(); n++)
         {
-            fleet.Pull[n] = n % 3 == 0 ? fleet.Pull[n] : 0; // All requests go to a third of the instances.
+            fleet.Weights[n] = n % 3 == 0 ? fleet.Weights[n] : 0; // All requests go to a third of the instances.
         }
         QuotaFleetRun(&fleet, 6 * UsPerSecond);
         CheckServed(&fleet, 0.999, "moved");
@@ -280,15 +280,15 @@
     void WithoutReportsQuotasAreExceeded()
     {
         QuotaFleet fleet(117, 10);
-        fleet.Lost = 1;
+        fleet.LossProbability = 1;
         const size_t large = QuotaFleetAdd(&fleet, LargePerS * QuotaShare, LargePerS * HotFactor);
         for (QuotaFleetInstance& instance : fleet.Instances)
         {
             instance.Known.Decides = true;
         }
         QuotaFleetRun(&fleet, 10 * UsPerSecond);
-        const QuotaFleetCustomer& asking = fleet.Asking[large];
-        CPPUNIT_ASSERT(static_cast<double>(asking.MostInWindow) > QuotaFleetBound(fleet, asking));
+        const QuotaFleetCustomer& load = fleet.Loads[large];
+        CPPUNIT_ASSERT(static_cast<double>(load.MaxInWindow) > QuotaFleetBound(fleet, load));
     }
 
     static void InjectFault(QuotaFleet* fleet, Dice* dice)
@@ -302,14 +302,14 @@
             for (int64_t n = dice->Between(count / 10, count / 3); n > 0; n--)
             {
                 const int64_t hit = dice->Between(0, count);
-                fleet->Instances[static_cast<size_t>(hit)].Side = together ? 1 : static_cast<int>(hit) + 2;
+                fleet->Instances[static_cast<size_t>(hit)].PartitionId = together ? 1 : static_cast<int>(hit) + 2;
             }
             break;
         }
         case 1: // Heals all partitions.
             for (QuotaFleetInstance& instance : fleet->Instances)
             {
-                instance.Side = 0;
+                instance.PartitionId = 0;
             }
             break;
         case 2: // Restarts some instances.
@@ -343,11 +343,11 @@
                               {
                                   Dice dice;
                                   const QuotaFleet fleet = FleetAfterFaults(&dice);
-                                  for (const QuotaFleetCustomer& asking : fleet.Asking)
+                                  for (const QuotaFleetCustomer& load : fleet.Loads)
                                   {
-                                      const double bound = QuotaFleetBound(fleet, asking);
-                                      RC_LOG() << asking.MostInWindow << " of " << bound << " at " << fleet.Instances.size() << "\n";
-                                      RC_ASSERT(static_cast<double>(asking.MostInWindow) <= bound);
+                                      const double bound = QuotaFleetBound(fleet, load);
+                                      RC_LOG() << load.MaxInWindow << " of " << bound << " at " << fleet.Instances.size() << "\n";
+                                      RC_ASSERT(static_cast<double>(load.MaxInWindow) <= bound);
                                   }
                               });
     }
--- a/tests/returns_test.cpp
+++ b/tests/returns_test.cpp
@@ -12,7 +12,7 @@
 // Serves and refuses a fixed number of requests per step from `from` on for `time`. Returns the retry times that were assigned.
 static std::vector<TimeUs> Play(ReturnSchedule* schedule, Random* random, TimeUs from, TimeUs time, int served, int refused)
 {
-    std::vector<TimeUs> places;
+    std::vector<TimeUs> retry_times;
     for (TimeUs now = from; now < from + time; now += StepUs)
     {
         for (int n = 0; n < served; n++)
@@ -21,22 +21,22 @@
         }
         for (int n = 0; n < refused; n++)
         {
-            places.push_back(now + ReturnScheduleTake(schedule, now, random));
+            retry_times.push_back(now + ReturnScheduleTake(schedule, now, random));
         }
     }
-    return places;
+    return retry_times;
 }
 
-static int MostInOneSecond(const std::vector<TimeUs>& places)
+static int MostInOneSecond(const std::vector<TimeUs>& retry_times)
 {
     int most = 0;
-    for (const TimeUs from : places)
+    for (const TimeUs from : retry_times)
     {
-        const auto within = [from](TimeUs place)
+        const auto within = [from](TimeUs retry_time)
         {
-            return place >= from && place < from + UsPerSecond;
+            return retry_time >= from && retry_time < from + UsPerSecond;
         };
-        most = std::max(most, static_cast<int>(std::count_if(places.begin(), places.end(), within)));
+        most = std::max(most, static_cast<int>(std::count_if(retry_times.begin(), retry_times.end(), within)));
     }
     return most;
 }
@@ -98,8 +98,8 @@
         schedule.Spread = 0; // Without jitter, so that the schedule's own spacing is counted.
         Random random(1);
         Play(&schedule, &random, 0, 10 * UsPerSecond, 2, 0); // 20 served a second.
-        const std::vector<TimeUs> places = Play(&schedule, &random, 10 * UsPerSecond, StepUs, 0, 15);
-        CPPUNIT_ASSERT(MostInOneSecond(places) <= 6);
+        const std::vector<TimeUs> retry_times = Play(&schedule, &random, 10 * UsPerSecond, StepUs, 0, 15);
+        CPPUNIT_ASSERT(MostInOneSecond(retry_times) <= 6);
         schedule.MostUs = schedule.LeastUs;
         CPPUNIT_ASSERT_EQUAL(15, MostInOneSecond(Play(&schedule, &random, 30 * UsPerSecond, StepUs, 0, 15)));
     }
@@ -149,7 +149,7 @@
             CPPUNIT_ASSERT_EQUAL(503, answer->Answer.Status);
             longest = std::max(longest, std::stod(*FindHeader(answer->Answer.Headers, "Retry-After")));
         }
-        CPPUNIT_ASSERT(longest > 0.4); // The schedule spreads the callers,
+        CPPUNIT_ASSERT(longest > 0.4); // The schedule spreads the callers.
         CPPUNIT_ASSERT(longest <= 0.75);
     }
 };
--- a/tests/target_limit_load_test.cpp
+++ b/tests/target_limit_load_test.cpp
@@ -14,27 +14,27 @@
 
 static void CheckBounds(const QuotaFleet& fleet, const std::string& what)
 {
-    for (const QuotaFleetCustomer& asking : fleet.Asking)
+    for (const QuotaFleetCustomer& load : fleet.Loads)
     {
-        const double bound = QuotaFleetBound(fleet, asking);
-        const std::string text = fmt::format("{}: {} in a window, {} allowed", what, asking.MostInWindow, bound);
-        CPPUNIT_ASSERT_MESSAGE(text, !asking.Names || static_cast<double>(asking.MostInWindow) <= bound);
+        const double bound = QuotaFleetBound(fleet, load);
+        const std::string text = fmt::format("{}: {} in a window, {} allowed", what, load.MaxInWindow, bound);
+        CPPUNIT_ASSERT_MESSAGE(text, !load.NamesLimit || static_cast<double>(load.MaxInWindow) <= bound);
     }
 }
 
 // Runs the fleet for `time` and checks that each target got at least UsedLeast of its limit.
 static void CheckUsed(QuotaFleet* fleet, TimeUs time, const std::string& what)
 {
-    for (QuotaFleetCustomer& asking : fleet->Asking)
+    for (QuotaFleetCustomer& load : fleet->Loads)
     {
-        QuotaFleetServed(&asking);
+        QuotaFleetServed(&load);
     }
     QuotaFleetRun(fleet, time);
-    for (const QuotaFleetCustomer& asking : fleet->Asking)
+    for (const QuotaFleetCustomer& load : fleet->Loads)
     {
-        const double takes = fleet->All.List[asking.Index].RatePerS * static_cast<double>(time) / static_cast<double>(UsPerSecond);
-        const std::string text = fmt::format("{}: {} of {:.0f}", what, asking.Admitted, takes);
-        CPPUNIT_ASSERT_MESSAGE(text, static_cast<double>(asking.Admitted) >= UsedLeast * takes);
+        const double takes = fleet->All.List[load.Index].RatePerS * static_cast<double>(time) / static_cast<double>(UsPerSecond);
+        const std::string text = fmt::format("{}: {} of {:.0f}", what, load.Admitted, takes);
+        CPPUNIT_ASSERT_MESSAGE(text, static_cast<double>(load.Admitted) >= UsedLeast * takes);
     }
 }
 
@@ -42,18 +42,18 @@
 static QuotaFleet LimitedFleet(int instances, double limit, double asked, uint64_t seed)
 {
     QuotaFleet fleet = TargetFleet(instances, seed);
-    fleet.Uneven = 3;
+    fleet.LoadRatioMax = 3;
     QuotaFleetRun(&fleet, 6 * UsPerSecond);
     QuotaFleetAddTarget(&fleet, limit, asked);
     QuotaFleetRun(&fleet, 8 * UsPerSecond);
     return fleet;
 }
 
-static void SetSides(QuotaFleet* fleet, size_t one_in, bool together)
+static void SetPartitions(QuotaFleet* fleet, size_t one_in, bool together)
 {
     for (size_t n = SeedCountMax; n < fleet->Instances.size(); n += one_in)
     {
-        fleet->Instances[n].Side = together ? 1 : static_cast<int>(n);
+        fleet->Instances[n].PartitionId = together ? 1 : static_cast<int>(n);
     }
 }
 
@@ -112,14 +112,14 @@
     void WithoutMessagesLimitsAreExceeded()
     {
         QuotaFleet fleet = TargetFleet(13, 2);
-        fleet.Alone = true;
+        fleet.Isolated = true;
         for (int n = 0; n < 13; n++)
         {
             QuotaFleetRestart(&fleet, n, 0);
         }
         QuotaFleetAddTarget(&fleet, 2, 60);
         QuotaFleetRun(&fleet, 10 * UsPerSecond);
-        CPPUNIT_ASSERT(static_cast<double>(fleet.Asking[0].MostInWindow) > QuotaFleetBound(fleet, fleet.Asking[0]));
+        CPPUNIT_ASSERT(static_cast<double>(fleet.Loads[0].MaxInWindow) > QuotaFleetBound(fleet, fleet.Loads[0]));
     }
 
     void IsolatedInstancesKeepLimitsWithTheRest()
@@ -129,7 +129,7 @@
             for (const bool together : {false, true})
             {
                 QuotaFleet fleet = LimitedFleet(instances, 2, 60, 3);
-                SetSides(&fleet, 3, together);
+                SetPartitions(&fleet, 3, together);
                 QuotaFleetRun(&fleet, 20 * UsPerSecond);
                 CheckBounds(fleet, fmt::format("{} instances, one in three cut off {}", instances, together ? "together" : "alone"));
             }
@@ -210,9 +210,9 @@
         QuotaFleet fleet = LimitedFleet(13, 2, 30, 9);
         QuotaFleetSetLimit(&fleet, 0, std::nullopt);
         QuotaFleetRun(&fleet, 3 * UsPerSecond);
-        QuotaFleetServed(&fleet.Asking[0]);
+        QuotaFleetServed(&fleet.Loads[0]);
         QuotaFleetRun(&fleet, 5 * UsPerSecond);
-        CPPUNIT_ASSERT_EQUAL(1.0, QuotaFleetServed(&fleet.Asking[0]));
+        CPPUNIT_ASSERT_EQUAL(1.0, QuotaFleetServed(&fleet.Loads[0]));
     }
 
     void ATargetWithALimitOfZeroIsTriedRarely()
@@ -220,10 +220,10 @@
         QuotaFleet fleet = LimitedFleet(13, 0, 60, 10);
         QuotaFleetRun(&fleet, 240 * UsPerSecond);
         CheckBounds(fleet, "a limit of 0");
-        QuotaFleetServed(&fleet.Asking[0]);
+        QuotaFleetServed(&fleet.Loads[0]);
         QuotaFleetRun(&fleet, 240 * UsPerSecond);
-        CPPUNIT_ASSERT(fleet.Asking[0].Admitted > 0);
-        CPPUNIT_ASSERT(fleet.Asking[0].Admitted < 12);
+        CPPUNIT_ASSERT(fleet.Loads[0].Admitted > 0);
+        CPPUNIT_ASSERT(fleet.Loads[0].Admitted < 12);
     }
 
     void ManyTargetsMayNameLimitsAtOnce()
@@ -245,7 +245,7 @@
         {
             QuotaFleet fleet = LimitedFleet(instances, 2, 1, 12);
             QuotaFleetRun(&fleet, 20 * UsPerSecond);
-            fleet.Asking[0].AskedPerS = 120;
+            fleet.Loads[0].RequestedPerS = 120;
             QuotaFleetRun(&fleet, 6 * UsPerSecond);
             CheckBounds(fleet, fmt::format("{} instances, from 1 to 120 a second", instances));
         }
@@ -257,12 +257,12 @@
         switch (dice->Between(0, 4))
         {
         case 0:
-            SetSides(fleet, static_cast<size_t>(dice->Between(3, 9)), dice->OneIn(2));
+            SetPartitions(fleet, static_cast<size_t>(dice->Between(3, 9)), dice->OneIn(2));
             break;
         case 1:
             for (QuotaFleetInstance& instance : fleet->Instances)
             {
-                instance.Side = 0;
+                instance.PartitionId = 0;
             }
             break;
         case 2:
@@ -272,7 +272,7 @@
             }
             break;
         default:
-            fleet->Asking[0].AskedPerS = static_cast<double>(dice->Between(1, 100));
+            fleet->Loads[0].RequestedPerS = static_cast<double>(dice->Between(1, 100));
             break;
         }
     }
@@ -317,10 +317,10 @@
                               {
                                   const auto seed = *rc::gen::noShrink(rc::gen::arbitrary<uint64_t>());
                                   const QuotaFleet fleet = FleetAfterFaults(seed);
-                                  const QuotaFleetCustomer& asking = fleet.Asking[0];
-                                  const double bound = QuotaFleetBound(fleet, asking);
-                                  RC_LOG() << "seed " << seed << ": " << asking.MostInWindow << " of " << bound << "\n";
-                                  RC_ASSERT(static_cast<double>(asking.MostInWindow) <= bound);
+                                  const QuotaFleetCustomer& load = fleet.Loads[0];
+                                  const double bound = QuotaFleetBound(fleet, load);
+                                  RC_LOG() << "seed " << seed << ": " << load.MaxInWindow << " of " << bound << "\n";
+                                  RC_ASSERT(static_cast<double>(load.MaxInWindow) <= bound);
                               });
     }
 };
--- a/tests/target_limit_test.cpp
+++ b/tests/target_limit_test.cpp
@@ -39,7 +39,7 @@
 static std::vector<const Gateway*> StartFleet(Rig* rig, int instances, size_t targets)
 {
     const int port = FreePort("127.0.0.10");
-    std::string contact;
+    std::string seed;
     std::vector<const Gateway*> fleet;
     for (int n = 0; n < instances; n++)
     {
@@ -47,8 +47,8 @@
         const std::string ip = fmt::format("127.0.0.{}", 10 + n);
         settings.PeerAddress = fmt::format("{}:{}", ip, FreePort(ip.c_str()));
         settings.DatagramPort = port;
-        contact = n == 0 ? settings.PeerAddress : contact;
-        settings.Peers = {contact};
+        seed = n == 0 ? settings.PeerAddress : seed;
+        settings.Peers = {seed};
         fleet.push_back(&RigStartWith(rig, settings));
     }
     for (const Gateway* instance : fleet)
