--- a/tests/quarantine_fleet.h
+++ b/tests/quarantine_fleet.h
@@ -9,13 +9,13 @@
 namespace Winchlink
 {
 
-inline constexpr const char* EndingPath = "/a/ends";
+inline constexpr const char* CrashingPath = "/a/ends";
 
-// Instances that exchange updates, the first two of them seeds, and targets that a request for EndingPath crashes.
+// Instances that exchange updates, the first two of them seeds, and targets that a request for CrashingPath crashes.
 struct QuarantineFleet
 {
     Rig Parts;
-    std::vector<std::string> Contacts;
+    std::vector<std::string> SeedAddresses;
     std::vector<Gateway*> Instances;
     int Targets = 0;
 
@@ -23,7 +23,7 @@
     {
         UsersRoute route;
         route.Attempts = 1; // So that one call crashes at most one target.
-        Contacts = {FreeAddress(), FreeAddress()};
+        SeedAddresses = {FreeAddress(), FreeAddress()};
         for (int n = 0; n < targets; n++)
         {
             AddTarget();
@@ -38,17 +38,17 @@
     UsersTarget& AddTarget()
     {
         UsersTarget& target = RigTarget(&Parts, fmt::format("t{}", ++Targets));
-        target.EndsOn = EndingPath;
+        target.EndsOn = CrashingPath;
         return target;
     }
 
     // Starts another incarnation of a target.
-    void StartAgain(const std::string& id, uint64_t life)
+    void RestartTarget(const std::string& id, uint64_t life)
     {
         Parts.Targets.push_back(std::make_unique<UsersTarget>());
         UsersTarget& target = *Parts.Targets.back();
         CPPUNIT_ASSERT(UsersTargetStart(&target, &Parts.Loop, id, FreeAddress()));
-        target.EndsOn = EndingPath;
+        target.EndsOn = CrashingPath;
         UsersStoreTarget(&Parts.Store, id, "svc", target.Address, "dc-a", false, 0, life);
     }
 
@@ -56,28 +56,28 @@
     {
         Settings settings = RigSettings(Parts);
         const size_t index = Instances.size();
-        settings.Peers = Contacts;
-        settings.PeerAddress = index < Contacts.size() ? Contacts[index] : FreeAddress();
+        settings.Peers = SeedAddresses;
+        settings.PeerAddress = index < SeedAddresses.size() ? SeedAddresses[index] : FreeAddress();
         Instances.push_back(&RigStartWith(&Parts, settings));
         RigAwait(&Parts, *Instances.back(), static_cast<size_t>(Targets));
         return *Instances.back();
     }
 
-    int Ended() const
+    int CrashedCount() const
     {
-        int ended = 0;
+        int crashed = 0;
         for (const auto& target : Parts.Targets)
         {
-            ended += target->Listening < 0 ? 1 : 0;
+            crashed += target->Listening < 0 ? 1 : 0;
         }
-        return ended;
+        return crashed;
     }
 
-    RigAnswer AskEnding(const Gateway& instance, const std::string& method = "GET")
+    RigAnswer SendCrashingCall(const Gateway& instance, const std::string& method = "GET")
     {
         RigCall call;
         call.Method = method;
-        call.Target = EndingPath;
+        call.Target = CrashingPath;
         return RigAsk(&Parts, instance, call);
     }
 };
--- a/tests/quarantine_load_test.cpp
+++ b/tests/quarantine_load_test.cpp
@@ -353,7 +353,7 @@
         {
             CPPUNIT_ASSERT_EQUAL(0, RunModel(QuarantineRule_Full, 30, 0, kills).QuarantinedWrongly);
             CPPUNIT_ASSERT_EQUAL(0, RunModel(QuarantineRule_Full, 30, 1, kills).QuarantinedWrongly);
-            CPPUNIT_ASSERT(RunModel(QuarantineRule_CountOnly, 30, 0, kills).QuarantinedWrongly >= 100); // So the check can fail.
+            CPPUNIT_ASSERT(RunModel(QuarantineRule_CountOnly, 30, 0, kills).QuarantinedWrongly >= 100); // Shows that the check can fail.
         }
     }
 
@@ -370,7 +370,8 @@
         for (const int kills : {1, 4})
         {
             CPPUNIT_ASSERT_EQUAL(0, RunModel(QuarantineRule_Full, 30, 0, kills, true).QuarantinedWrongly);
-            CPPUNIT_ASSERT(RunModel(QuarantineRule_CountOnly, 30, 0, kills, true).QuarantinedWrongly >= 50); // So the check can fail.
+            CPPUNIT_ASSERT(RunModel(QuarantineRule_CountOnly, 30, 0, kills, true).QuarantinedWrongly >=
+                           50); // Shows that the check can fail.
         }
     }
 
--- a/tests/quarantine_test.cpp
+++ b/tests/quarantine_test.cpp
@@ -1,7 +1,6 @@
 // quarantine_test.cpp: quarantine of requests that crash the targets that run them.
 //
 // Guards against a request that crashes one target after the other because its caller sends it again, each time to another instance.
-// another instance and is sent to one target only.
 
 #include "clock.h"
 #include "page_client.h"
@@ -40,21 +39,21 @@
         QuarantineFleet fleet(5, 12);
         for (size_t n = 0; n < 3; n++)
         {
-            fleet.AskEnding(*fleet.Instances[n]);
+            fleet.SendCrashingCall(*fleet.Instances[n]);
         }
-        CPPUNIT_ASSERT_EQUAL(3, fleet.Ended());
+        CPPUNIT_ASSERT_EQUAL(3, fleet.CrashedCount());
         RigIdle(&fleet.Parts, SpreadUs);
         for (int round = 0; round < 2; round++)
         {
             for (const Gateway* instance : fleet.Instances)
             {
-                CPPUNIT_ASSERT_EQUAL(503, fleet.AskEnding(*instance).Answer.Status);
+                CPPUNIT_ASSERT_EQUAL(503, fleet.SendCrashingCall(*instance).Answer.Status);
             }
         }
-        CPPUNIT_ASSERT_EQUAL(3, fleet.Ended());
+        CPPUNIT_ASSERT_EQUAL(3, fleet.CrashedCount());
         const Gateway& started_since = fleet.AddInstance();
-        CPPUNIT_ASSERT_EQUAL(503, fleet.AskEnding(started_since).Answer.Status);
-        CPPUNIT_ASSERT_EQUAL(3, fleet.Ended());
+        CPPUNIT_ASSERT_EQUAL(503, fleet.SendCrashingCall(started_since).Answer.Status);
+        CPPUNIT_ASSERT_EQUAL(3, fleet.CrashedCount());
         CPPUNIT_ASSERT_EQUAL(200, RigAsk(&fleet.Parts, *fleet.Instances[0], RigCall()).Answer.Status); // Other requests are served.
     }
 
@@ -63,10 +62,10 @@
         QuarantineFleet fleet(2, 6);
         for (int n = 0; n < 3; n++)
         {
-            CPPUNIT_ASSERT_EQUAL(502, fleet.AskEnding(*fleet.Instances[0], "POST").Answer.Status);
+            CPPUNIT_ASSERT_EQUAL(502, fleet.SendCrashingCall(*fleet.Instances[0], "POST").Answer.Status);
         }
         RigIdle(&fleet.Parts, SpreadUs);
-        const RigAnswer answer = fleet.AskEnding(*fleet.Instances[1], "POST");
+        const RigAnswer answer = fleet.SendCrashingCall(*fleet.Instances[1], "POST");
         CPPUNIT_ASSERT_EQUAL(503, answer.Answer.Status);
         CPPUNIT_ASSERT_EQUAL(std::to_string(Code_RequestHeld), *FindHeader(answer.Answer.Headers, HeaderCode));
         CPPUNIT_ASSERT(std::stod(*FindHeader(answer.Answer.Headers, "Retry-After")) > 590); // Until the quarantine ends.
@@ -126,14 +125,14 @@
     void AnAnswerResetsTheCrashCount()
     {
         QuarantineFleet fleet(2, 4);
-        fleet.AskEnding(*fleet.Instances[0]);
-        fleet.AskEnding(*fleet.Instances[0]);
-        CPPUNIT_ASSERT_EQUAL(2, fleet.Ended());
+        fleet.SendCrashingCall(*fleet.Instances[0]);
+        fleet.SendCrashingCall(*fleet.Instances[0]);
+        CPPUNIT_ASSERT_EQUAL(2, fleet.CrashedCount());
         for (const auto& target : fleet.Parts.Targets)
         {
             target->EndsOn.clear();
         }
-        CPPUNIT_ASSERT_EQUAL(200, fleet.AskEnding(*fleet.Instances[0]).Answer.Status);
+        CPPUNIT_ASSERT_EQUAL(200, fleet.SendCrashingCall(*fleet.Instances[0]).Answer.Status);
         const Quarantine& other = fleet.Instances[1]->Requests.Held;
         CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return other.Digest == fleet.Instances[0]->Requests.Held.Digest; }));
         CPPUNIT_ASSERT_EQUAL(0, QuarantineEnds(other, other.Requests.begin()->first));
@@ -145,13 +144,13 @@
         QuarantineFleet fleet(1, 1);
         for (int n = 0; n < 3; n++)
         {
-            CPPUNIT_ASSERT_EQUAL(502, fleet.AskEnding(*fleet.Instances[0]).Answer.Status);
+            CPPUNIT_ASSERT_EQUAL(502, fleet.SendCrashingCall(*fleet.Instances[0]).Answer.Status);
             const uint64_t life = 1000 + static_cast<uint64_t>(n);
-            fleet.StartAgain("t1", life);
+            fleet.RestartTarget("t1", life);
             const TargetDirectory& directory = fleet.Instances[0]->Requests.Directory;
             CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return directory.Targets.at("t1").Life == life; }));
         }
-        CPPUNIT_ASSERT_EQUAL(503, fleet.AskEnding(*fleet.Instances[0]).Answer.Status);
+        CPPUNIT_ASSERT_EQUAL(503, fleet.SendCrashingCall(*fleet.Instances[0]).Answer.Status);
     }
 
     // Two seeds that both read the store exchange crashes with each other, although neither is the other's source.
@@ -162,15 +161,15 @@
         Gateway& second = *fleet.Instances[1];
         ListenerStop(&first.Peers.Server);
         ListenerStop(&second.Peers.Server);
-        fleet.AskEnding(first);
-        fleet.AskEnding(first);
-        fleet.AskEnding(second);
+        fleet.SendCrashingCall(first);
+        fleet.SendCrashingCall(first);
+        fleet.SendCrashingCall(second);
         RigIdle(&fleet.Parts, 2 * SpreadUs);
         const std::string key = first.Requests.Held.Requests.begin()->first;
         CPPUNIT_ASSERT_EQUAL(2, QuarantineEnds(first.Requests.Held, key));
         CPPUNIT_ASSERT_EQUAL(1, QuarantineEnds(second.Requests.Held, key));
-        CPPUNIT_ASSERT(bool(RelayStart(&first.Peers, &fleet.Parts.Loop, &first.Rng, fleet.Contacts[0])));
-        CPPUNIT_ASSERT(bool(RelayStart(&second.Peers, &fleet.Parts.Loop, &second.Rng, fleet.Contacts[1])));
+        CPPUNIT_ASSERT(bool(RelayStart(&first.Peers, &fleet.Parts.Loop, &first.Rng, fleet.SeedAddresses[0])));
+        CPPUNIT_ASSERT(bool(RelayStart(&second.Peers, &fleet.Parts.Loop, &second.Rng, fleet.SeedAddresses[1])));
         const auto know_all = [&]()
         {
             return QuarantineEnds(first.Requests.Held, key) == 3 && QuarantineEnds(second.Requests.Held, key) == 3;
@@ -187,14 +186,14 @@
         RigIdle(&fleet.Parts, 3 * UsPerSecond); // All instances have noticed by then.
         for (size_t n = 0; n < 3; n++)
         {
-            fleet.AskEnding(*fleet.Instances[n]);
+            fleet.SendCrashingCall(*fleet.Instances[n]);
         }
         RigIdle(&fleet.Parts, 2 * UsPerSecond);
         for (const Gateway* instance : fleet.Instances)
         {
-            CPPUNIT_ASSERT_EQUAL(503, fleet.AskEnding(*instance).Answer.Status);
+            CPPUNIT_ASSERT_EQUAL(503, fleet.SendCrashingCall(*instance).Answer.Status);
         }
-        CPPUNIT_ASSERT_EQUAL(3, fleet.Ended());
+        CPPUNIT_ASSERT_EQUAL(3, fleet.CrashedCount());
     }
 
     void OperatorsSeeAndLiftAQuarantine()
@@ -202,7 +201,7 @@
         QuarantineFleet fleet(2, 5);
         for (int n = 0; n < 3; n++)
         {
-            fleet.AskEnding(*fleet.Instances[0]);
+            fleet.SendCrashingCall(*fleet.Instances[0]);
         }
         const Gateway& other = *fleet.Instances[1];
         CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return !other.Requests.Held.Requests.empty(); }));
@@ -221,9 +220,10 @@
         CPPUNIT_ASSERT_EQUAL(std::string(LiftedText), said);
         const Quarantine& first = fleet.Instances[0]->Requests.Held;
         CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return QuarantineEnds(first, key) == 0; }));
-        CPPUNIT_ASSERT_EQUAL(502,
-                             fleet.AskEnding(*fleet.Instances[0]).Answer.Status); // It is sent to a target, and the count starts at zero.
-        CPPUNIT_ASSERT_EQUAL(4, fleet.Ended());
+        CPPUNIT_ASSERT_EQUAL(
+            502,
+            fleet.SendCrashingCall(*fleet.Instances[0]).Answer.Status); // It is sent to a target, and the count starts at zero.
+        CPPUNIT_ASSERT_EQUAL(4, fleet.CrashedCount());
     }
 
     void UpdatesMergeInAnyOrder()
--- a/tests/returns_test.cpp
+++ b/tests/returns_test.cpp
@@ -27,7 +27,7 @@
     return retry_times;
 }
 
-static int MostInOneSecond(const std::vector<TimeUs>& retry_times)
+static int MaxInOneSecond(const std::vector<TimeUs>& retry_times)
 {
     int most = 0;
     for (const TimeUs from : retry_times)
@@ -99,9 +99,9 @@
         Random random(1);
         Play(&schedule, &random, 0, 10 * UsPerSecond, 2, 0); // 20 served a second.
         const std::vector<TimeUs> retry_times = Play(&schedule, &random, 10 * UsPerSecond, StepUs, 0, 15);
-        CPPUNIT_ASSERT(MostInOneSecond(retry_times) <= 6);
+        CPPUNIT_ASSERT(MaxInOneSecond(retry_times) <= 6);
         schedule.MostUs = schedule.LeastUs;
-        CPPUNIT_ASSERT_EQUAL(15, MostInOneSecond(Play(&schedule, &random, 30 * UsPerSecond, StepUs, 0, 15)));
+        CPPUNIT_ASSERT_EQUAL(15, MaxInOneSecond(Play(&schedule, &random, 30 * UsPerSecond, StepUs, 0, 15)));
     }
 
     void RetryTimesStayWithinTheirBounds()
--- a/tests/silent_ends_test.cpp
+++ b/tests/silent_ends_test.cpp
@@ -12,7 +12,7 @@
 namespace Winchlink
 {
 
-// Targets that stop answering, with their connections open, on a request for EndingPath.
+// Targets that stop answering, with their connections open, on a request for CrashingPath.
 struct SilentFleet : QuarantineFleet
 {
     explicit SilentFleet(int targets, int instances = 1) : QuarantineFleet(instances, targets)
@@ -38,7 +38,7 @@
     {
         const int before = Silenced();
         RigCall call;
-        call.Target = EndingPath;
+        call.Target = CrashingPath;
         call.DeadlineMs = deadline_ms;
         RigAnswerPtr answer = RigSend(&Parts, *Instances[0], call);
         CPPUNIT_ASSERT(RigRun(&Parts, [&]() { return Silenced() > before; }));
@@ -105,8 +105,8 @@
             fleet.AwaitCrashes(n);
         }
         RigIdle(&fleet.Parts, SpreadUs);
-        CPPUNIT_ASSERT_EQUAL(503, fleet.AskEnding(*fleet.Instances[0]).Answer.Status);
-        CPPUNIT_ASSERT_EQUAL(503, fleet.AskEnding(*fleet.Instances[1]).Answer.Status);
+        CPPUNIT_ASSERT_EQUAL(503, fleet.SendCrashingCall(*fleet.Instances[0]).Answer.Status);
+        CPPUNIT_ASSERT_EQUAL(503, fleet.SendCrashingCall(*fleet.Instances[1]).Answer.Status);
         CPPUNIT_ASSERT_EQUAL(3, fleet.Silenced());
     }
 
@@ -128,7 +128,7 @@
     {
         SilentFleet fleet(1);
         RawCaller caller(&fleet.Parts.Loop, fleet.Instances[0]->Config.CallerAddress);
-        RawSend(caller, fmt::format("GET {} HTTP/1.1\r\nHost: a.example\r\nWinchlink-Request-Id: r\r\n\r\n", EndingPath));
+        RawSend(caller, fmt::format("GET {} HTTP/1.1\r\nHost: a.example\r\nWinchlink-Request-Id: r\r\n\r\n", CrashingPath));
         CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return fleet.Silenced() == 1; }));
         RawClose(&caller);
         CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return !fleet.Instances[0]->Requests.Silent.Attempts.empty(); }));
@@ -141,7 +141,7 @@
     {
         SilentFleet fleet(1);
         fleet.Await(fleet.SilenceOne(ShortMs));
-        fleet.StartAgain("t1", 1000);
+        fleet.RestartTarget("t1", 1000);
         fleet.AwaitCrashes(1);
     }
 
@@ -168,7 +168,7 @@
         {
             target->EndsOn.clear();
         }
-        CPPUNIT_ASSERT_EQUAL(200, fleet.AskEnding(*fleet.Instances[0]).Answer.Status);
+        CPPUNIT_ASSERT_EQUAL(200, fleet.SendCrashingCall(*fleet.Instances[0]).Answer.Status);
         fleet.RemoveSilentEntries();
         CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return !fleet.Instances[0]->Requests.Silent.Targets.empty(); }));
         CPPUNIT_ASSERT_EQUAL(0, fleet.CrashCount());
--- a/tests/target_limit_load_test.cpp
+++ b/tests/target_limit_load_test.cpp
@@ -10,7 +10,7 @@
 namespace Winchlink
 {
 
-static constexpr double UsedLeast = 0.8; // Share of the limit that must be used while more is requested.
+static constexpr double UsedShareMin = 0.8; // Share of the limit that must be used while more is requested.
 
 static void CheckBounds(const QuotaFleet& fleet, const std::string& what)
 {
@@ -22,7 +22,7 @@
     }
 }
 
-// Runs the fleet for `time` and checks that each target got at least UsedLeast of its limit.
+// Runs the fleet for `time` and checks that each target got at least UsedShareMin of its limit.
 static void CheckUsed(QuotaFleet* fleet, TimeUs time, const std::string& what)
 {
     for (QuotaFleetCustomer& load : fleet->Loads)
@@ -34,7 +34,7 @@
     {
         const double takes = fleet->All.List[load.Index].RatePerS * static_cast<double>(time) / static_cast<double>(UsPerSecond);
         const std::string text = fmt::format("{}: {} of {:.0f}", what, load.Admitted, takes);
-        CPPUNIT_ASSERT_MESSAGE(text, static_cast<double>(load.Admitted) >= UsedLeast * takes);
+        CPPUNIT_ASSERT_MESSAGE(text, static_cast<double>(load.Admitted) >= UsedShareMin * takes);
     }
 }
 
@@ -101,7 +101,7 @@
         CheckLimitKeptAndUsed(587, 40, 30);
     }
 
-    // Each of so many instances gets only a few requests a minute.
+    // Each of so many instances gets less than three requests a minute on average.
     void ASmallLimitIsUsedByManyInstances()
     {
         CheckLimitKeptAndUsed(587, 2, 3);
--- a/tests/target_limit_test.cpp
+++ b/tests/target_limit_test.cpp
@@ -20,7 +20,7 @@
 }
 
 // Maximum number of arrivals in any window.
-static size_t MostInWindow(const std::vector<TimeUs>& arrivals)
+static size_t MaxInWindow(const std::vector<TimeUs>& arrivals)
 {
     size_t most = 0;
     size_t first = 0;
@@ -93,14 +93,14 @@
         RigConfigure(&rig, {UsersRoute()});
         const std::vector<const Gateway*> fleet = StartFleet(&rig, 6, 2);
         Load(&rig, fleet, 60, 6 * UsPerSecond);
-        const size_t most = MostInWindow(limited.Arrivals);
+        const size_t most = MaxInWindow(limited.Arrivals);
         const std::string text = fmt::format("{} in a window, {} allowed", most, AllowedInWindow(limit));
         CPPUNIT_ASSERT_MESSAGE(text, static_cast<double>(most) <= AllowedInWindow(limit));
     }
 
     static void CheckKept(const UsersTarget& target, double limit)
     {
-        const size_t most = MostInWindow(target.Arrivals);
+        const size_t most = MaxInWindow(target.Arrivals);
         CPPUNIT_ASSERT_MESSAGE(fmt::format("{} in a window", most), static_cast<double>(most) <= AllowedInWindow(limit));
     }
 
