--- a/tests/quota_load_test.cpp
+++ b/tests/quota_load_test.cpp
@@ -54,7 +54,8 @@
     {
         const double rate = fleet->All.List[load.Index].RatePerS;
         const double served = QuotaFleetServed(&load);
-        CPPUNIT_ASSERT_MESSAGE(fmt::format("{}: {:.3f} of a customer with {} a second served", what, served, rate), served >= least);
+        CPPUNIT_ASSERT_MESSAGE(fmt::format("{}: {:.3f} of the requests of a customer with {} a second served", what, served, rate),
+                               served >= least);
     }
 }
 
@@ -120,7 +121,7 @@
             }
             SetHot(&fleet, HotFactor);
             QuotaFleetRun(&fleet, 10 * UsPerSecond);
-            CheckBounds(fleet, fmt::format("{} instances, one in six cut off", instances));
+            CheckBounds(fleet, fmt::format("{} instances, one in six isolated", instances));
         }
     }
 
@@ -135,7 +136,7 @@
             }
             SetHot(&fleet, HotFactor);
             QuotaFleetRun(&fleet, 20 * UsPerSecond);
-            CheckBounds(fleet, fmt::format("{} instances, half and half", instances));
+            CheckBounds(fleet, fmt::format("{} instances, split in halves", instances));
         }
     }
 
@@ -151,7 +152,7 @@
                 QuotaFleetRestart(&fleet, n, std::uniform_int_distribution<TimeUs>(0, UsPerSecond)(fleet.Rng));
             }
             QuotaFleetRun(&fleet, 10 * UsPerSecond);
-            CheckBounds(fleet, fmt::format("{} instances, all started at once", instances));
+            CheckBounds(fleet, fmt::format("{} instances, all restarted", instances));
         }
     }
 
@@ -170,7 +171,7 @@
         QuotaFleetRun(&fleet, 300 * UsPerMs);
         SetHot(&fleet, HotFactor);
         QuotaFleetRun(&fleet, 8 * UsPerSecond);
-        CheckBounds(fleet, fmt::format("{} instances, callers that waited", instances));
+        CheckBounds(fleet, fmt::format("{} instances, burst after a restart", instances));
     }
 
     void ABurstAfterARestartOfAllKeepsQuotas()
@@ -201,7 +202,7 @@
             QuotaFleetServed(&load); // Resets the counters once all instances are up and connected.
         }
         QuotaFleetRun(&fleet, 8 * UsPerSecond);
-        CheckServed(&fleet, 0.97, "all started at once");
+        CheckServed(&fleet, 0.97, "all restarted");
     }
 
     void ALostSeedChangesNothing()
@@ -210,11 +211,11 @@
         CheckServed(&fleet, 0.999, "before");
         QuotaFleetRestart(&fleet, 0, 4 * UsPerSecond);
         QuotaFleetRun(&fleet, 10 * UsPerSecond);
-        CheckServed(&fleet, 0.99, "a first contact lost");
+        CheckServed(&fleet, 0.99, "a seed lost");
         SetHot(&fleet, HotFactor);
         QuotaFleetRestart(&fleet, 1, 4 * UsPerSecond);
         QuotaFleetRun(&fleet, 10 * UsPerSecond);
-        CheckBounds(fleet, "a first contact lost");
+        CheckBounds(fleet, "a seed lost");
     }
 
     void RestartsOfHalfTheFleetRefuseNobodyBelowItsQuota()
@@ -226,8 +227,8 @@
             QuotaFleetRestart(&fleet, n, 2 * UsPerSecond);
         }
         QuotaFleetRun(&fleet, 10 * UsPerSecond);
-        CheckServed(&fleet, 0.97, "half killed");
-        CheckBounds(fleet, "half killed");
+        CheckServed(&fleet, 0.97, "half restarted");
+        CheckBounds(fleet, "half restarted");
     }
 
     // A customer slightly above its quota is served nearly in full, within the tolerance.
@@ -356,13 +357,13 @@
     void ASmallCustomerWhileAQuarterIsIsolated()
     {
         Dice dice(762296);
-        CheckBounds(FleetAfterFaults(&dice), "several cuts");
+        CheckBounds(FleetAfterFaults(&dice), "several partitions");
     }
 
     void ASmallCustomerWhileMostAreIsolated()
     {
         Dice dice(582005223620258400);
-        CheckBounds(FleetAfterFaults(&dice), "several cuts, 66 instances");
+        CheckBounds(FleetAfterFaults(&dice), "several partitions, 66 instances");
     }
 };
 
--- a/tests/target_limit_load_test.cpp
+++ b/tests/target_limit_load_test.cpp
@@ -81,7 +81,7 @@
 
     static void CheckLimitKeptAndUsed(int instances, double limit, double times)
     {
-        const std::string what = fmt::format("{} instances, {} a second, {} times as many asked", instances, limit, times);
+        const std::string what = fmt::format("{} instances, {} a second, {} times as many requested", instances, limit, times);
         QuotaFleet fleet = LimitedFleet(instances, limit, limit * times, 1);
         CheckUsed(&fleet, 30 * UsPerSecond, what);
         CheckBounds(fleet, what);
@@ -131,7 +131,7 @@
                 QuotaFleet fleet = LimitedFleet(instances, 2, 60, 3);
                 SetPartitions(&fleet, 3, together);
                 QuotaFleetRun(&fleet, 20 * UsPerSecond);
-                CheckBounds(fleet, fmt::format("{} instances, one in three cut off {}", instances, together ? "together" : "alone"));
+                CheckBounds(fleet, fmt::format("{} instances, one in three isolated {}", instances, together ? "together" : "alone"));
             }
         }
     }
@@ -148,7 +148,7 @@
             QuotaFleetRun(&fleet, UsPerSecond);
             QuotaFleetSetLimit(&fleet, 0, 2.0); // No instance knows the limit now: the time to learn it starts again.
             QuotaFleetRun(&fleet, 10 * UsPerSecond);
-            CheckBounds(fleet, fmt::format("{} instances, all started at once", instances));
+            CheckBounds(fleet, fmt::format("{} instances, all restarted", instances));
         }
     }
 
@@ -163,7 +163,7 @@
                 QuotaFleetRun(&fleet, 100 * UsPerMs);
             }
             QuotaFleetRun(&fleet, 5 * UsPerSecond);
-            CheckBounds(fleet, fmt::format("{} instances, one in five started", instances));
+            CheckBounds(fleet, fmt::format("{} instances, one in five restarted", instances));
         }
     }
 
@@ -295,19 +295,19 @@
     // Failures that the property below found. Here the request rate rises tenfold while nearly all requests are admitted.
     void ALoadJumpDuringPartitions()
     {
-        CheckBounds(FleetAfterFaults(2787982915), "several cuts, from 7 to 70 a second");
+        CheckBounds(FleetAfterFaults(2787982915), "several partitions, from 7 to 70 a second");
     }
 
     // Half of 78 instances partitioned, each alone, after three partitions and three rounds of restarts.
     void PartitionsAndRestartsInSeries()
     {
-        CheckBounds(FleetAfterFaults(140), "cuts and kills in series");
+        CheckBounds(FleetAfterFaults(140), "partitions and restarts in series");
     }
 
     // The request rate rises thirtyfold at once.
     void ALoadJumpDuringRestarts()
     {
-        CheckBounds(FleetAfterFaults(164357734471), "kills, from 3 to 91 a second");
+        CheckBounds(FleetAfterFaults(164357734471), "restarts, from 3 to 91 a second");
     }
 
     void RandomFaultsKeepLimits()
