--- a/tests/quota_fleet.cpp
+++ b/tests/quota_fleet.cpp
@@ -1,39 +1,39 @@
-// quota_fleet.cpp: a fleet that keeps customers' quotas, in virtual time.
+// quota_fleet.cpp: model of a fleet that enforces quotas, in virtual time. See quota_fleet.h.
 
 #include "quota_fleet.h"
 
 namespace Winchlink
 {
 
-static constexpr TimeUs TickUs = 10 * UsPerMs; // Steps of the model.
+static constexpr TimeUs TickUs = 10 * UsPerMs; // Time step of the model.
 
 static std::string NameOf(int instance)
 {
     return "i" + std::to_string(instance);
 }
 
-static bool IsContact(int instance)
+static bool IsSeedInstance(int instance)
 {
-    return instance < ContactsMost;
+    return instance < SeedCountMax;
 }
 
-// The tree as the relay makes it: first contacts, then levels of followers.
+// The tree that the relay builds: seeds, then levels of followers.
 static int ParentOf(int instance)
 {
-    const int first_level = ContactsMost + ContactsMost * FollowersMost;
-    if (IsContact(instance))
+    const int first_level = SeedCountMax + SeedCountMax * FollowersMost;
+    if (IsSeedInstance(instance))
     {
         return -1;
     }
-    return instance < first_level ? instance % ContactsMost : ContactsMost + (instance - first_level) / FollowersMost;
+    return instance < first_level ? instance % SeedCountMax : SeedCountMax + (instance - first_level) / FollowersMost;
 }
 
-static void Begin(QuotaFleet* fleet, int instance)
+static void StartInstance(QuotaFleet* fleet, int instance)
 {
     QuotaFleetInstance& one = fleet->Instances[static_cast<size_t>(instance)];
     one.Known = Quota();
     one.Known.Config = fleet->Config;
-    one.Known.IsSeed = IsContact(instance) || fleet->Alone;
+    one.Known.IsSeed = IsSeedInstance(instance) || fleet->Isolated;
     one.Known.StartedUs = fleet->Now;
     one.Parent = ParentOf(instance);
     one.NextUs = fleet->Now + std::uniform_int_distribution<TimeUs>(0, TickUs)(fleet->Rng);
@@ -44,7 +44,7 @@
 {
     for (int n = 0; n < instances; n++)
     {
-        Begin(this, n);
+        StartInstance(this, n);
     }
 }
 
@@ -55,11 +55,11 @@
     customer.RatePerS = rate;
     customer.Burst = burst;
     CPPUNIT_ASSERT(bool(AddCustomer(&fleet->All, customer)));
-    QuotaFleetCustomer asking;
-    asking.Index = fleet->All.List.size() - 1;
-    asking.AskedPerS = asked;
-    fleet->Asking.push_back(asking);
-    return fleet->Asking.size() - 1;
+    QuotaFleetCustomer load;
+    load.Index = fleet->All.List.size() - 1;
+    load.RequestedPerS = asked;
+    fleet->Loads.push_back(load);
+    return fleet->Loads.size() - 1;
 }
 
 size_t QuotaFleetAdd(QuotaFleet* fleet, double rate, double asked)
@@ -77,19 +77,19 @@
 size_t QuotaFleetAddTarget(QuotaFleet* fleet, double limit, double asked)
 {
     const size_t target = Add(fleet, limit, 0, asked);
-    fleet->Asking[target].IsTarget = true;
-    QuotaFleetName(fleet, target, limit);
+    fleet->Loads[target].IsTarget = true;
+    QuotaFleetSetLimit(fleet, target, limit);
     return target;
 }
 
-void QuotaFleetName(QuotaFleet* fleet, size_t target, std::optional<double> limit)
+void QuotaFleetSetLimit(QuotaFleet* fleet, size_t target, std::optional<double> limit)
 {
-    QuotaFleetCustomer& asking = fleet->Asking[target];
-    asking.Names = limit.has_value();
-    asking.NamedUs = fleet->Now;
-    asking.MostInWindow = 0;
-    asking.Runs.clear();
-    fleet->All.List[asking.Index].RatePerS = limit.value_or(0);
+    QuotaFleetCustomer& load = fleet->Loads[target];
+    load.NamesLimit = limit.has_value();
+    load.LimitSinceUs = fleet->Now;
+    load.MaxInWindow = 0;
+    load.AdmittedUs.clear();
+    fleet->All.List[load.Index].RatePerS = limit.value_or(0);
 }
 
 static bool IsUp(const QuotaFleet& fleet, int instance)
@@ -98,17 +98,17 @@
     return one.DownUntilUs <= fleet.Now && !one.Paused;
 }
 
-// Whether the instance has anything to tell others.
-static bool Tells(const QuotaFleet& fleet, const Quota& known)
+// Whether the instance sends reports and answers.
+static bool SendsMessages(const QuotaFleet& fleet, const Quota& known)
 {
-    return !fleet.Alone && (!fleet.OfTargets || !known.Limits.empty());
+    return !fleet.Isolated && (!fleet.OfTargets || !known.Limits.empty());
 }
 
 static void Post(QuotaFleet* fleet, QuotaFleetMessage message)
 {
-    const int from_side = fleet->Instances[static_cast<size_t>(message.From)].Side;
-    const int to_side = fleet->Instances[static_cast<size_t>(message.To)].Side;
-    const bool lost = std::uniform_real_distribution<double>(0, 1)(fleet->Rng) < fleet->Lost;
+    const int from_side = fleet->Instances[static_cast<size_t>(message.From)].PartitionId;
+    const int to_side = fleet->Instances[static_cast<size_t>(message.To)].PartitionId;
+    const bool lost = std::uniform_real_distribution<double>(0, 1)(fleet->Rng) < fleet->LossProbability;
     fleet->DatagramsSent++;
     if (from_side == to_side && !lost)
     {
@@ -125,7 +125,7 @@
     }
 }
 
-static void TellFollowers(QuotaFleet* fleet, int from)
+static void AnswerFollowers(QuotaFleet* fleet, int from)
 {
     for (const auto& entry : fleet->Instances[static_cast<size_t>(from)].Known.Followers)
     {
@@ -133,23 +133,23 @@
     }
 }
 
-static void PostReportsTo(QuotaFleet* fleet, int from, int to, bool contact)
+static void PostReportsTo(QuotaFleet* fleet, int from, int to, bool to_seed)
 {
     for (const QuotaReport& report : QuotaReports(fleet->Instances[static_cast<size_t>(from)].Known, fleet->Now))
     {
-        Post(fleet, {0, from, to, contact, report, std::nullopt});
+        Post(fleet, {0, from, to, to_seed, report, std::nullopt});
     }
 }
 
 static void PostReports(QuotaFleet* fleet, int from)
 {
     const int parent = fleet->Instances[static_cast<size_t>(from)].Parent;
-    const int contacts = std::min(ContactsMost, static_cast<int>(fleet->Instances.size()));
-    for (int contact = 0; IsContact(from) && contact < contacts; contact++)
+    const int seeds = std::min(SeedCountMax, static_cast<int>(fleet->Instances.size()));
+    for (int seed = 0; IsSeedInstance(from) && seed < seeds; seed++)
     {
-        if (contact != from)
+        if (seed != from)
         {
-            PostReportsTo(fleet, from, contact, true);
+            PostReportsTo(fleet, from, seed, true);
         }
     }
     if (parent >= 0)
@@ -158,21 +158,21 @@
     }
 }
 
-// A follower whose source is down or cut off takes another one that it reaches: a first contact, if there is one.
+// A follower that can't reach its source follows a seed that it reaches, if any.
 static void FindSource(QuotaFleet* fleet, int instance)
 {
     QuotaFleetInstance& one = fleet->Instances[static_cast<size_t>(instance)];
     const auto reaches = [&](int other)
     {
-        return other >= 0 && IsUp(*fleet, other) && fleet->Instances[static_cast<size_t>(other)].Side == one.Side;
+        return other >= 0 && IsUp(*fleet, other) && fleet->Instances[static_cast<size_t>(other)].PartitionId == one.PartitionId;
     };
-    if (IsContact(instance) || reaches(one.Parent))
+    if (IsSeedInstance(instance) || reaches(one.Parent))
     {
         return;
     }
-    for (int contact = 0; contact < ContactsMost; contact++)
+    for (int seed = 0; seed < SeedCountMax; seed++)
     {
-        one.Parent = reaches(contact) ? contact : one.Parent;
+        one.Parent = reaches(seed) ? seed : one.Parent;
     }
 }
 
@@ -182,12 +182,12 @@
     const bool moved = fleet->OfTargets ? QuotaDecideNamed(&known, fleet->Now) : QuotaDecide(&known, fleet->All, fleet->Now);
     if (moved)
     {
-        TellFollowers(fleet, instance);
+        AnswerFollowers(fleet, instance);
     }
 }
 
-// Those that follow it and have nothing to report hear of limits all the same.
-static void TellOthers(QuotaFleet* fleet, int from)
+// Sends the limits to followers that have sent no report.
+static void AnswerOtherFollowers(QuotaFleet* fleet, int from)
 {
     const Quota& known = fleet->Instances[static_cast<size_t>(from)].Known;
     for (size_t n = 0; n < fleet->Instances.size(); n++)
@@ -203,7 +203,7 @@
 static void Report(QuotaFleet* fleet, int instance)
 {
     QuotaFleetInstance& one = fleet->Instances[static_cast<size_t>(instance)];
-    if (!IsUp(*fleet, instance) || fleet->Now < one.NextUs || !Tells(*fleet, one.Known))
+    if (!IsUp(*fleet, instance) || fleet->Now < one.NextUs || !SendsMessages(*fleet, one.Known))
     {
         return;
     }
@@ -213,7 +213,7 @@
     PostReports(fleet, instance);
     if (fleet->OfTargets)
     {
-        TellOthers(fleet, instance);
+        AnswerOtherFollowers(fleet, instance);
     }
 }
 
@@ -228,13 +228,13 @@
     {
         if (QuotaHeardAnswer(&known, *message.Answer, fleet->Now))
         {
-            TellFollowers(fleet, message.To);
+            AnswerFollowers(fleet, message.To);
         }
         return;
     }
-    const bool unknown = QuotaHeardReport(&known, NameOf(message.From), *message.Report, message.Contact, fleet->Now);
+    const bool unknown = QuotaHeardReport(&known, NameOf(message.From), *message.Report, message.ToSeed, fleet->Now);
     Decide(fleet, message.To);
-    if (!message.Contact)
+    if (!message.ToSeed)
     {
         PostAnswers(fleet, message.To, message.From);
     }
@@ -246,78 +246,78 @@
 
 static int DrawInstance(QuotaFleet* fleet)
 {
-    if (fleet->Pull.empty())
+    if (fleet->Weights.empty())
     {
         for (size_t n = 0; n < fleet->Instances.size(); n++)
         {
-            fleet->Pull.push_back(std::uniform_real_distribution<double>(1, fleet->Uneven + 0.001)(fleet->Rng));
+            fleet->Weights.push_back(std::uniform_real_distribution<double>(1, fleet->LoadRatioMax + 0.001)(fleet->Rng));
         }
     }
     int drawn = 0;
     do
     {
-        drawn = std::discrete_distribution<int>(fleet->Pull.begin(), fleet->Pull.end())(fleet->Rng);
+        drawn = std::discrete_distribution<int>(fleet->Weights.begin(), fleet->Weights.end())(fleet->Rng);
     } while (!IsUp(*fleet, drawn));
     return drawn;
 }
 
-// Whether the instance sends a request to the target; it hears at once what the answer says.
-static bool SendToTarget(QuotaFleet* fleet, QuotaFleetInstance* one, const QuotaFleetCustomer& asking)
+// Whether the instance admits a request to the target. The target's answer arrives at once.
+static bool SendToTarget(QuotaFleet* fleet, QuotaFleetInstance* one, const QuotaFleetCustomer& load)
 {
-    const Customer& target = fleet->All.List[asking.Index];
+    const Customer& target = fleet->All.List[load.Index];
     const bool taken = QuotaTakeNamed(&one->Known, target.Id, fleet->Now, &fleet->Rng);
     if (taken)
     {
-        QuotaName(&one->Known, target.Id, asking.Names ? std::optional<double>(target.RatePerS) : std::nullopt, fleet->Now);
+        QuotaName(&one->Known, target.Id, load.NamesLimit ? std::optional<double>(target.RatePerS) : std::nullopt, fleet->Now);
     }
     return taken;
 }
 
-static bool Send(QuotaFleet* fleet, QuotaFleetInstance* one, QuotaFleetCustomer* asking)
+static bool Send(QuotaFleet* fleet, QuotaFleetInstance* one, QuotaFleetCustomer* load)
 {
-    const Customer& customer = fleet->All.List[asking->Index];
-    return asking->IsTarget ? SendToTarget(fleet, one, *asking) : QuotaTake(&one->Known, customer, fleet->Now, &fleet->Rng);
+    const Customer& customer = fleet->All.List[load->Index];
+    return load->IsTarget ? SendToTarget(fleet, one, *load) : QuotaTake(&one->Known, customer, fleet->Now, &fleet->Rng);
 }
 
-static void Ask(QuotaFleet* fleet, QuotaFleetCustomer* asking)
+static void SendRequest(QuotaFleet* fleet, QuotaFleetCustomer* load)
 {
-    constexpr TimeUs spread_us = UsPerSecond;    // Of a word that is new: what is sent meanwhile does not count,
-    constexpr TimeUs named_us = 3 * UsPerSecond; // and windows do that end later than this.
-    asking->Asked++;
-    if (!Send(fleet, &fleet->Instances[static_cast<size_t>(DrawInstance(fleet))], asking))
+    constexpr TimeUs spread_us = UsPerSecond;    // Time a new limit needs to reach all instances; requests before are not counted.
+    constexpr TimeUs named_us = 3 * UsPerSecond; // Windows that end earlier than this after a change are not counted.
+    load->Requested++;
+    if (!Send(fleet, &fleet->Instances[static_cast<size_t>(DrawInstance(fleet))], load))
     {
         return;
     }
-    asking->Admitted++;
-    if (asking->IsTarget && fleet->Now < asking->NamedUs + spread_us)
+    load->Admitted++;
+    if (load->IsTarget && fleet->Now < load->LimitSinceUs + spread_us)
     {
         return;
     }
-    asking->Runs.push_back(fleet->Now);
-    while (asking->Runs.front() <= fleet->Now - fleet->Config.WindowUs)
+    load->AdmittedUs.push_back(fleet->Now);
+    while (load->AdmittedUs.front() <= fleet->Now - fleet->Config.WindowUs)
     {
-        asking->Runs.pop_front();
+        load->AdmittedUs.pop_front();
     }
-    if (!asking->IsTarget || fleet->Now >= asking->NamedUs + named_us)
+    if (!load->IsTarget || fleet->Now >= load->LimitSinceUs + named_us)
     {
-        asking->MostInWindow = std::max(asking->MostInWindow, asking->Runs.size());
+        load->MaxInWindow = std::max(load->MaxInWindow, load->AdmittedUs.size());
     }
 }
 
-static void AskAll(QuotaFleet* fleet)
+static void SendRequests(QuotaFleet* fleet)
 {
     bool any_up = false;
     for (size_t n = 0; n < fleet->Instances.size() && !any_up; n++)
     {
         any_up = IsUp(*fleet, static_cast<int>(n));
     }
-    for (QuotaFleetCustomer& asking : fleet->Asking)
+    for (QuotaFleetCustomer& load : fleet->Loads)
     {
-        const double due = asking.AskedPerS * static_cast<double>(TickUs) / static_cast<double>(UsPerSecond);
+        const double due = load.RequestedPerS * static_cast<double>(TickUs) / static_cast<double>(UsPerSecond);
         const int count = any_up ? std::poisson_distribution<int>(due + 1e-9)(fleet->Rng) : 0;
         for (int n = 0; n < count; n++)
         {
-            Ask(fleet, &asking);
+            SendRequest(fleet, &load);
         }
     }
 }
@@ -337,31 +337,31 @@
         {
             Report(fleet, static_cast<int>(n));
         }
-        AskAll(fleet);
+        SendRequests(fleet);
     }
 }
 
 void QuotaFleetRestart(QuotaFleet* fleet, int instance, TimeUs down)
 {
     QuotaFleetInstance& one = fleet->Instances[static_cast<size_t>(instance)];
-    Begin(fleet, instance);
+    StartInstance(fleet, instance);
     one.DownUntilUs = fleet->Now + down;
     one.Known.StartedUs = one.DownUntilUs;
     one.NextUs = one.DownUntilUs;
 }
 
-double QuotaFleetBound(const QuotaFleet& fleet, const QuotaFleetCustomer& asking)
+double QuotaFleetBound(const QuotaFleet& fleet, const QuotaFleetCustomer& load)
 {
-    const Customer& customer = fleet.All.List[asking.Index];
+    const Customer& customer = fleet.All.List[load.Index];
     const double window = static_cast<double>(fleet.Config.WindowUs) / static_cast<double>(UsPerSecond);
     return (customer.RatePerS * window + customer.Burst) * (1 + fleet.Config.Overage) + fleet.Config.Slack;
 }
 
-double QuotaFleetServed(QuotaFleetCustomer* asking)
+double QuotaFleetServed(QuotaFleetCustomer* load)
 {
-    const double served = asking->Asked > 0 ? static_cast<double>(asking->Admitted) / static_cast<double>(asking->Asked) : 1;
-    asking->Asked = 0;
-    asking->Admitted = 0;
+    const double served = load->Requested > 0 ? static_cast<double>(load->Admitted) / static_cast<double>(load->Requested) : 1;
+    load->Requested = 0;
+    load->Admitted = 0;
     return served;
 }
 
--- a/tests/target_limit_load_test.cpp
+++ b/tests/target_limit_load_test.cpp
@@ -1,8 +1,7 @@
-// target_limit_load_test.cpp: limits that targets name, kept over fleets of 3 to 587 instances, in virtual time: no window beyond what is
-// allowed, and what the target takes is used.
+// target_limit_load_test.cpp: limits that targets name, over fleets of 3 to 587 instances, in virtual time.
 //
-// The loads are those of a target that would get 3 to 30 times what it takes, as it does among ten others of which none has named a limit,
-// with callers that come three times as often to some instances as to others.
+// Guards against a fleet that exceeds a target's limit in some window, or leaves much of the limit unused, also during partitions, message
+// loss and restarts.
 
 #include "quota_fleet.h"
 
@@ -11,50 +10,50 @@
 namespace Winchlink
 {
 
-static constexpr double UsedLeast = 0.8; // Of a limit, while more is asked: it is room to serve.
+static constexpr double UsedShareMin = 0.8; // Share of the limit that must be used while more is requested.
 
 static void CheckBounds(const QuotaFleet& fleet, const std::string& what)
 {
-    for (const QuotaFleetCustomer& asking : fleet.Asking)
+    for (const QuotaFleetCustomer& load : fleet.Loads)
     {
-        const double bound = QuotaFleetBound(fleet, asking);
-        const std::string text = fmt::format("{}: {} in a window, {} allowed", what, asking.MostInWindow, bound);
-        CPPUNIT_ASSERT_MESSAGE(text, !asking.Names || static_cast<double>(asking.MostInWindow) <= bound);
+        const double bound = QuotaFleetBound(fleet, load);
+        const std::string text = fmt::format("{}: {} in a window, {} allowed", what, load.MaxInWindow, bound);
+        CPPUNIT_ASSERT_MESSAGE(text, !load.NamesLimit || static_cast<double>(load.MaxInWindow) <= bound);
     }
 }
 
-// Plays the time; each target must have got most of what it takes.
+// Runs the fleet for `time` and checks that each target got at least UsedShareMin of its limit.
 static void CheckUsed(QuotaFleet* fleet, TimeUs time, const std::string& what)
 {
-    for (QuotaFleetCustomer& asking : fleet->Asking)
+    for (QuotaFleetCustomer& load : fleet->Loads)
     {
-        QuotaFleetServed(&asking);
+        QuotaFleetServed(&load);
     }
     QuotaFleetRun(fleet, time);
-    for (const QuotaFleetCustomer& asking : fleet->Asking)
+    for (const QuotaFleetCustomer& load : fleet->Loads)
     {
-        const double takes = fleet->All.List[asking.Index].RatePerS * static_cast<double>(time) / static_cast<double>(UsPerSecond);
-        const std::string text = fmt::format("{}: {} of {:.0f}", what, asking.Admitted, takes);
-        CPPUNIT_ASSERT_MESSAGE(text, static_cast<double>(asking.Admitted) >= UsedLeast * takes);
+        const double takes = fleet->All.List[load.Index].RatePerS * static_cast<double>(time) / static_cast<double>(UsPerSecond);
+        const std::string text = fmt::format("{}: {} of {:.0f}", what, load.Admitted, takes);
+        CPPUNIT_ASSERT_MESSAGE(text, static_cast<double>(load.Admitted) >= UsedShareMin * takes);
     }
 }
 
-// A fleet in which the target has named its limit for a while.
+// A fleet with one target that has named its limit for 8 s.
 static QuotaFleet LimitedFleet(int instances, double limit, double asked, uint64_t seed)
 {
     QuotaFleet fleet = TargetFleet(instances, seed);
-    fleet.Uneven = 3;
+    fleet.LoadRatioMax = 3;
     QuotaFleetRun(&fleet, 6 * UsPerSecond);
     QuotaFleetAddTarget(&fleet, limit, asked);
     QuotaFleetRun(&fleet, 8 * UsPerSecond);
     return fleet;
 }
 
-static void SetSides(QuotaFleet* fleet, size_t one_in, bool together)
+static void SetPartitions(QuotaFleet* fleet, size_t one_in, bool together)
 {
-    for (size_t n = ContactsMost; n < fleet->Instances.size(); n += one_in)
+    for (size_t n = SeedCountMax; n < fleet->Instances.size(); n += one_in)
     {
-        fleet->Instances[n].Side = together ? 1 : static_cast<int>(n);
+        fleet->Instances[n].PartitionId = together ? 1 : static_cast<int>(n);
     }
 }
 
@@ -63,26 +62,26 @@
     CPPUNIT_TEST_SUITE(TargetLimitLoadTest);
     CPPUNIT_TEST(ALimitIsKeptAndUsed);
     CPPUNIT_TEST(ASmallLimitIsUsedByManyInstances);
-    CPPUNIT_TEST(EachByItselfPassesIt);
-    CPPUNIT_TEST(ThoseCutOffAndTheRestKeepItTogether);
-    CPPUNIT_TEST(AStartOfAllKeepsIt);
-    CPPUNIT_TEST(InstancesThatStartKeepIt);
-    CPPUNIT_TEST(APausedInstanceKeepsIt);
-    CPPUNIT_TEST(ALimitThatFallsIsKept);
-    CPPUNIT_TEST(ALimitThatRisesIsUsed);
+    CPPUNIT_TEST(WithoutMessagesLimitsAreExceeded);
+    CPPUNIT_TEST(IsolatedInstancesKeepLimitsWithTheRest);
+    CPPUNIT_TEST(ARestartOfAllInstancesKeepsLimits);
+    CPPUNIT_TEST(RestartedInstancesKeepLimits);
+    CPPUNIT_TEST(PausedInstancesKeepLimits);
+    CPPUNIT_TEST(ALoweredLimitIsKept);
+    CPPUNIT_TEST(ARaisedLimitIsUsed);
     CPPUNIT_TEST(ALimitThatIsNoLongerNamedIsGone);
-    CPPUNIT_TEST(ATargetThatTakesNothingIsTriedNowAndThen);
-    CPPUNIT_TEST(ManyTargetsMayNameOneAtOnce);
-    CPPUNIT_TEST(RequestsThatComeAllOfASuddenKeepIt);
-    CPPUNIT_TEST(AnyTroublesKeepIt);
-    CPPUNIT_TEST(AJumpOfWhatIsAskedAmongCuts);
-    CPPUNIT_TEST(ASeriesOfCutsAndKills);
-    CPPUNIT_TEST(AJumpOfWhatIsAskedAmongKills);
+    CPPUNIT_TEST(ATargetWithALimitOfZeroIsTriedRarely);
+    CPPUNIT_TEST(ManyTargetsMayNameLimitsAtOnce);
+    CPPUNIT_TEST(ASuddenLoadKeepsLimits);
+    CPPUNIT_TEST(RandomFaultsKeepLimits);
+    CPPUNIT_TEST(ALoadJumpDuringPartitions);
+    CPPUNIT_TEST(PartitionsAndRestartsInSeries);
+    CPPUNIT_TEST(ALoadJumpDuringRestarts);
     CPPUNIT_TEST_SUITE_END();
 
-    static void CheckKeptAndUsed(int instances, double limit, double times)
+    static void CheckLimitKeptAndUsed(int instances, double limit, double times)
     {
-        const std::string what = fmt::format("{} instances, {} a second, {} times as many asked", instances, limit, times);
+        const std::string what = fmt::format("{} instances, {} a second, {} times as many requested", instances, limit, times);
         QuotaFleet fleet = LimitedFleet(instances, limit, limit * times, 1);
         CheckUsed(&fleet, 30 * UsPerSecond, what);
         CheckBounds(fleet, what);
@@ -94,50 +93,50 @@
         {
             for (const double times : {3.0, 30.0})
             {
-                CheckKeptAndUsed(3, limit, times);
-                CheckKeptAndUsed(13, limit, times);
-                CheckKeptAndUsed(117, limit, times);
+                CheckLimitKeptAndUsed(3, limit, times);
+                CheckLimitKeptAndUsed(13, limit, times);
+                CheckLimitKeptAndUsed(117, limit, times);
             }
         }
-        CheckKeptAndUsed(587, 40, 30);
+        CheckLimitKeptAndUsed(587, 40, 30);
     }
 
-    // Each of so many instances asks for less than one request in a minute.
+    // Each of so many instances gets less than three requests a minute on average.
     void ASmallLimitIsUsedByManyInstances()
     {
-        CheckKeptAndUsed(587, 2, 3);
-        CheckKeptAndUsed(587, 8, 3);
+        CheckLimitKeptAndUsed(587, 2, 3);
+        CheckLimitKeptAndUsed(587, 8, 3);
     }
 
-    // Planted: the bounds must be seen to break.
-    void EachByItselfPassesIt()
+    // Injected fault: instances exchange nothing and each decides as if it were the whole fleet. The bound must be exceeded.
+    void WithoutMessagesLimitsAreExceeded()
     {
         QuotaFleet fleet = TargetFleet(13, 2);
-        fleet.Alone = true;
+        fleet.Isolated = true;
         for (int n = 0; n < 13; n++)
         {
             QuotaFleetRestart(&fleet, n, 0);
         }
         QuotaFleetAddTarget(&fleet, 2, 60);
         QuotaFleetRun(&fleet, 10 * UsPerSecond);
-        CPPUNIT_ASSERT(static_cast<double>(fleet.Asking[0].MostInWindow) > QuotaFleetBound(fleet, fleet.Asking[0]));
+        CPPUNIT_ASSERT(static_cast<double>(fleet.Loads[0].MaxInWindow) > QuotaFleetBound(fleet, fleet.Loads[0]));
     }
 
-    void ThoseCutOffAndTheRestKeepItTogether()
+    void IsolatedInstancesKeepLimitsWithTheRest()
     {
         for (const int instances : {13, 117, 587})
         {
             for (const bool together : {false, true})
             {
                 QuotaFleet fleet = LimitedFleet(instances, 2, 60, 3);
-                SetSides(&fleet, 3, together);
+                SetPartitions(&fleet, 3, together);
                 QuotaFleetRun(&fleet, 20 * UsPerSecond);
-                CheckBounds(fleet, fmt::format("{} instances, one in three cut off {}", instances, together ? "together" : "alone"));
+                CheckBounds(fleet, fmt::format("{} instances, one in three isolated {}", instances, together ? "together" : "alone"));
             }
         }
     }
 
-    void AStartOfAllKeepsIt()
+    void ARestartOfAllInstancesKeepsLimits()
     {
         for (const int instances : {3, 13, 117, 587})
         {
@@ -147,13 +146,13 @@
                 QuotaFleetRestart(&fleet, n, std::uniform_int_distribution<TimeUs>(0, UsPerSecond)(fleet.Rng));
             }
             QuotaFleetRun(&fleet, UsPerSecond);
-            QuotaFleetName(&fleet, 0, 2.0); // Nobody knows it any more: the time to hear of it begins anew.
+            QuotaFleetSetLimit(&fleet, 0, 2.0); // No instance knows the limit now: the time to learn it starts again.
             QuotaFleetRun(&fleet, 10 * UsPerSecond);
-            CheckBounds(fleet, fmt::format("{} instances, all started at once", instances));
+            CheckBounds(fleet, fmt::format("{} instances, all restarted", instances));
         }
     }
 
-    void InstancesThatStartKeepIt()
+    void RestartedInstancesKeepLimits()
     {
         for (const int instances : {13, 117, 587})
         {
@@ -164,12 +163,12 @@
                 QuotaFleetRun(&fleet, 100 * UsPerMs);
             }
             QuotaFleetRun(&fleet, 5 * UsPerSecond);
-            CheckBounds(fleet, fmt::format("{} instances, one in five started", instances));
+            CheckBounds(fleet, fmt::format("{} instances, one in five restarted", instances));
         }
     }
 
-    // It goes on with decisions of before: these are believed for a moment only.
-    void APausedInstanceKeepsIt()
+    // A paused instance continues with old decisions, which must expire soon.
+    void PausedInstancesKeepLimits()
     {
         QuotaFleet fleet = LimitedFleet(13, 2, 60, 6);
         for (int n = 0; n < 13; n += 2)
@@ -186,21 +185,21 @@
         CheckUsed(&fleet, 20 * UsPerSecond, "after a pause");
     }
 
-    void ALimitThatFallsIsKept()
+    void ALoweredLimitIsKept()
     {
         for (const int instances : {13, 117})
         {
             QuotaFleet fleet = LimitedFleet(instances, 20, 60, 7);
-            QuotaFleetName(&fleet, 0, 2.0);
+            QuotaFleetSetLimit(&fleet, 0, 2.0);
             QuotaFleetRun(&fleet, 10 * UsPerSecond);
             CheckBounds(fleet, fmt::format("{} instances, from 20 to 2 a second", instances));
         }
     }
 
-    void ALimitThatRisesIsUsed()
+    void ARaisedLimitIsUsed()
     {
         QuotaFleet fleet = LimitedFleet(13, 2, 60, 8);
-        QuotaFleetName(&fleet, 0, 20.0);
+        QuotaFleetSetLimit(&fleet, 0, 20.0);
         QuotaFleetRun(&fleet, 3 * UsPerSecond);
         CheckUsed(&fleet, 10 * UsPerSecond, "from 2 to 20 a second");
         CheckBounds(fleet, "from 2 to 20 a second");
@@ -209,25 +208,25 @@
     void ALimitThatIsNoLongerNamedIsGone()
     {
         QuotaFleet fleet = LimitedFleet(13, 2, 30, 9);
-        QuotaFleetName(&fleet, 0, std::nullopt);
+        QuotaFleetSetLimit(&fleet, 0, std::nullopt);
         QuotaFleetRun(&fleet, 3 * UsPerSecond);
-        QuotaFleetServed(&fleet.Asking[0]);
+        QuotaFleetServed(&fleet.Loads[0]);
         QuotaFleetRun(&fleet, 5 * UsPerSecond);
-        CPPUNIT_ASSERT_EQUAL(1.0, QuotaFleetServed(&fleet.Asking[0]));
+        CPPUNIT_ASSERT_EQUAL(1.0, QuotaFleetServed(&fleet.Loads[0]));
     }
 
-    void ATargetThatTakesNothingIsTriedNowAndThen()
+    void ATargetWithALimitOfZeroIsTriedRarely()
     {
         QuotaFleet fleet = LimitedFleet(13, 0, 60, 10);
         QuotaFleetRun(&fleet, 240 * UsPerSecond);
         CheckBounds(fleet, "a limit of 0");
-        QuotaFleetServed(&fleet.Asking[0]);
+        QuotaFleetServed(&fleet.Loads[0]);
         QuotaFleetRun(&fleet, 240 * UsPerSecond);
-        CPPUNIT_ASSERT(fleet.Asking[0].Admitted > 0);
-        CPPUNIT_ASSERT(fleet.Asking[0].Admitted < 12);
+        CPPUNIT_ASSERT(fleet.Loads[0].Admitted > 0);
+        CPPUNIT_ASSERT(fleet.Loads[0].Admitted < 12);
     }
 
-    void ManyTargetsMayNameOneAtOnce()
+    void ManyTargetsMayNameLimitsAtOnce()
     {
         QuotaFleet fleet = TargetFleet(18, 11);
         QuotaFleetRun(&fleet, 6 * UsPerSecond);
@@ -240,30 +239,30 @@
         CheckBounds(fleet, "120 targets");
     }
 
-    void RequestsThatComeAllOfASuddenKeepIt()
+    void ASuddenLoadKeepsLimits()
     {
         for (const int instances : {3, 13, 117, 587})
         {
             QuotaFleet fleet = LimitedFleet(instances, 2, 1, 12);
             QuotaFleetRun(&fleet, 20 * UsPerSecond);
-            fleet.Asking[0].AskedPerS = 120;
+            fleet.Loads[0].RequestedPerS = 120;
             QuotaFleetRun(&fleet, 6 * UsPerSecond);
             CheckBounds(fleet, fmt::format("{} instances, from 1 to 120 a second", instances));
         }
     }
 
-    static void Trouble(QuotaFleet* fleet, Dice* dice)
+    static void InjectFault(QuotaFleet* fleet, Dice* dice)
     {
         const auto count = static_cast<int64_t>(fleet->Instances.size());
         switch (dice->Between(0, 4))
         {
         case 0:
-            SetSides(fleet, static_cast<size_t>(dice->Between(3, 9)), dice->OneIn(2));
+            SetPartitions(fleet, static_cast<size_t>(dice->Between(3, 9)), dice->OneIn(2));
             break;
         case 1:
             for (QuotaFleetInstance& instance : fleet->Instances)
             {
-                instance.Side = 0;
+                instance.PartitionId = 0;
             }
             break;
         case 2:
@@ -273,13 +272,13 @@
             }
             break;
         default:
-            fleet->Asking[0].AskedPerS = static_cast<double>(dice->Between(1, 100));
+            fleet->Loads[0].RequestedPerS = static_cast<double>(dice->Between(1, 100));
             break;
         }
     }
 
-    // A fleet after a series of troubles that the seed decides.
-    static QuotaFleet AfterTroubles(uint64_t seed)
+    // A fleet after a random series of faults.
+    static QuotaFleet FleetAfterFaults(uint64_t seed)
     {
         Dice dice(seed);
         const auto instances = static_cast<int>(dice.Between(12, 130));
@@ -287,41 +286,41 @@
         QuotaFleet fleet = LimitedFleet(instances, limit, 60, dice.Rng());
         for (int64_t n = dice.Between(2, 8); n > 0; n--)
         {
-            Trouble(&fleet, &dice);
+            InjectFault(&fleet, &dice);
             QuotaFleetRun(&fleet, dice.Between(200, 3000) * UsPerMs);
         }
         return fleet;
     }
 
-    // A seed of the test below: what is asked rises to ten times as much while nearly all of it is admitted.
-    void AJumpOfWhatIsAskedAmongCuts()
+    // Failures that the property below found. Here the request rate rises tenfold while nearly all requests are admitted.
+    void ALoadJumpDuringPartitions()
     {
-        CheckBounds(AfterTroubles(2787982915), "several cuts, from 7 to 70 a second");
+        CheckBounds(FleetAfterFaults(2787982915), "several partitions, from 7 to 70 a second");
     }
 
-    // Another one: half of 78 instances alone, each by itself, after three cuts and three rounds of kills.
-    void ASeriesOfCutsAndKills()
+    // Half of 78 instances partitioned, each alone, after three partitions and three rounds of restarts.
+    void PartitionsAndRestartsInSeries()
     {
-        CheckBounds(AfterTroubles(140), "cuts and kills in series");
+        CheckBounds(FleetAfterFaults(140), "partitions and restarts in series");
     }
 
-    // Another one: what is asked rises to thirty times as much within a moment.
-    void AJumpOfWhatIsAskedAmongKills()
+    // The request rate rises thirtyfold at once.
+    void ALoadJumpDuringRestarts()
     {
-        CheckBounds(AfterTroubles(164357734471), "kills, from 3 to 91 a second");
+        CheckBounds(FleetAfterFaults(164357734471), "restarts, from 3 to 91 a second");
     }
 
-    void AnyTroublesKeepIt()
+    void RandomFaultsKeepLimits()
     {
         CHECK_COSTLY_PROPERTY(10, "no window beyond what a target takes, whatever is cut off or killed",
                               []()
                               {
                                   const auto seed = *rc::gen::noShrink(rc::gen::arbitrary<uint64_t>());
-                                  const QuotaFleet fleet = AfterTroubles(seed);
-                                  const QuotaFleetCustomer& asking = fleet.Asking[0];
-                                  const double bound = QuotaFleetBound(fleet, asking);
-                                  RC_LOG() << "seed " << seed << ": " << asking.MostInWindow << " of " << bound << "\n";
-                                  RC_ASSERT(static_cast<double>(asking.MostInWindow) <= bound);
+                                  const QuotaFleet fleet = FleetAfterFaults(seed);
+                                  const QuotaFleetCustomer& load = fleet.Loads[0];
+                                  const double bound = QuotaFleetBound(fleet, load);
+                                  RC_LOG() << "seed " << seed << ": " << load.MaxInWindow << " of " << bound << "\n";
+                                  RC_ASSERT(static_cast<double>(load.MaxInWindow) <= bound);
                               });
     }
 };
