--- a/tests/follow_load_test.cpp
+++ b/tests/follow_load_test.cpp
@@ -1,11 +1,8 @@
-// follow_load_test.cpp: a fleet of hundreds that learns from the store through few, played in virtual time without a network.
+// follow_load_test.cpp: simulates a fleet of hundreds of instances that get the store's changes through a few readers, in virtual time and
+// without a network.
 //
-// The decisions are the library's own (Follow, Fanout); the model adds what lies between them: a store, links and slow processors. It is
-// the load of a fleet of 473 instances with three first contacts, the users' largest, and its figures are theirs: 4 ms an answer of the
-// store, 0.8 ms one way between instances, links of 20 Mbit/s, a tenth of a core. Measured on real processes: 700 targets and their routes
-// are 50 KB when packed; a message takes a tenth of a core 1 ms, and everything 10 ms until it can be handed on.
-//
-// Each test names the pattern that it plays and asserts who asks the store, how often, and how old knowledge gets.
+// Source selection and fan-out are the library's code (Follow, Fanout); the model adds a store, links and slow processors. The fleet has
+// 473 instances, three of them seeds. Guards against too many calls to the store and against stale data at any instance.
 
 #include "check.h"
 
@@ -22,31 +19,31 @@
 constexpr size_t FleetSize = 473;
 constexpr size_t ContactCount = 3;
 constexpr TimeUs OneWayUs = 800;                // Between instances.
-constexpr TimeUs StoreUs = 4 * UsPerMs;         // An answer of the store.
-constexpr TimeUs MessageUs = UsPerMs;           // A message at a tenth of a core.
-constexpr TimeUs EverythingUs = 10 * UsPerMs;   // Everything, until it can be handed on.
-constexpr TimeUs TransferUs = 20 * UsPerMs;     // 50 KB at 20 Mbit/s.
-constexpr TimeUs StoreWaitUs = 800 * UsPerMs;   // As GatewayTiming has it, as are the next six.
+constexpr TimeUs StoreUs = 4 * UsPerMs;         // From the store's answer until it arrives.
+constexpr TimeUs MessageUs = UsPerMs;           // Processor time to read a message, at a tenth of a core.
+constexpr TimeUs EverythingUs = 10 * UsPerMs;   // Processor time to read a full copy of the store.
+constexpr TimeUs TransferUs = 20 * UsPerMs;     // Transfer of a full copy: 50 KB at 20 Mbit/s.
+constexpr TimeUs StoreWaitUs = 800 * UsPerMs;   // This and the next six are equal to the values in GatewayTiming.
 constexpr TimeUs StoreMarginUs = 350 * UsPerMs; //
 constexpr TimeUs StoreGatherUs = 300 * UsPerMs; //
 constexpr TimeUs PeerWaitUs = 950 * UsPerMs;    //
 constexpr TimeUs PeerMarginUs = 250 * UsPerMs;  //
 constexpr TimeUs HoldUs = 500 * UsPerMs;        //
 constexpr TimeUs BeatUs = 700 * UsPerMs;        //
-constexpr TimeUs ConnectUs = 100 * UsPerMs;     // To a machine that says nothing.
+constexpr TimeUs ConnectUs = 100 * UsPerMs;     // Timeout of a connection attempt to an unresponsive instance.
 constexpr const char* StoreAddress = "10.0.0.1:1";
 
-enum Life_ : int
+enum ModelState_ : int
 {
-    Life_Up,
-    Life_Gone,   // Its process is gone: connections are refused at once.
-    Life_Silent, // It has no power, or stands still: nothing is answered.
+    ModelState_Up,
+    ModelState_Crashed,      // The process has ended: connections are refused at once.
+    ModelState_Unresponsive, // Power loss or a frozen process: nothing is answered.
 };
 
 struct ModelWait
 {
-    size_t From = 0;   // Which instance.
-    uint64_t Call = 0; // Its call.
+    size_t From = 0;   // Index of the waiting instance.
+    uint64_t Call = 0; // Id of its call.
     NewsAsker Asker;
 };
 
@@ -54,18 +51,18 @@
 {
     Follow Following;
     Fanout Spread;
-    Life_ Life = Life_Silent;
-    uint64_t Call = 0;                   // In progress; 0: none.
-    std::map<uint64_t, ModelWait> Waits; // By their calls.
-    bool Lost = false;                   // The store.
+    ModelState_ State = ModelState_Unresponsive;
+    uint64_t Call = 0;                   // Id of the call in progress; 0 if none.
+    std::map<uint64_t, ModelWait> Waits; // Held calls of followers, by call id.
+    bool Lost = false;                   // The store can't be reached.
     TimeUs TriedUs = 0;
     TimeUs ToldUs = 0;
     TimeUs ToldFreshUs = 0;
-    TimeUs LinkUs = 0; // Its link is busy until then.
-    TimeUs BusyUs = 0; // As is its processor.
+    TimeUs LinkUs = 0; // The link is busy until then.
+    TimeUs BusyUs = 0; // The processor is busy until then.
 };
 
-// Everything that happens, in order.
+// The simulation: instances and a queue of events in order of time.
 struct Model
 {
     using Event = std::pair<std::pair<TimeUs, uint64_t>, std::function<void()>>;
@@ -86,14 +83,14 @@
     std::function<bool(size_t instance, TimeUs now)> Refuses = [](size_t, TimeUs)
     {
         return false;
-    };                             // The store turns it away.
-    TimeUs EditUs = 500 * UsPerMs; // The store changes so often: targets come and go, besides edits.
-    uint64_t Left = 0;             // Sources that were found behind, or ours.
-    std::function<bool(size_t instance)> Mute = [](size_t)
+    };                             // Whether the store refuses calls of the instance.
+    TimeUs EditUs = 500 * UsPerMs; // Interval between changes in the store.
+    uint64_t SourcesLeft = 0;      // Times that a source was left because it was behind or had its data from the follower itself.
+    std::function<bool(size_t instance)> SilentTo = [](size_t)
     {
         return false;
-    };                   // The store says nothing to it.
-    bool Silent = false; // The store says nothing.
+    };                   // Whether the store leaves calls of the instance unanswered.
+    bool Silent = false; // The store answers no call.
     uint64_t StoreCalls = 0;
     std::array<uint64_t, StoreReason_COUNT> CallsFor = {};
 
@@ -114,7 +111,7 @@
             return n;
         }
     }
-    CPPUNIT_FAIL("nobody has the address " + address);
+    CPPUNIT_FAIL("no instance has the address " + address);
     return 0;
 }
 
@@ -145,8 +142,8 @@
     }
 }
 
-// Work of an instance's processor, after all that it has to do already.
-TimeUs Work(Model* model, size_t instance, TimeUs from, TimeUs work)
+// Queues work at an instance's processor behind the work queued before; returns when it is done.
+TimeUs QueueWork(Model* model, size_t instance, TimeUs from, TimeUs work)
 {
     TimeUs& busy = model->Fleet[instance].BusyUs;
     busy = std::max(busy, from) + work;
@@ -160,7 +157,7 @@
 void CallFailed(Model* model, size_t instance, uint64_t call, bool late)
 {
     ModelInstance& self = model->Fleet[instance];
-    if (self.Life != Life_Up || self.Call != call)
+    if (self.State != ModelState_Up || self.Call != call)
     {
         return;
     }
@@ -174,13 +171,13 @@
     Step(model, instance);
 }
 
-SourceNews NewsOf(const Model& model, const ModelInstance& self)
+SourceNews SourceStateOf(const Model& model, const ModelInstance& self)
 {
     const Follow& following = self.Following;
     return {following.At, model.Now - following.FreshUs, self.Lost, self.Lost ? model.Now - self.TriedUs : 0, following.Origin};
 }
 
-void OnNews(Model* model, size_t instance, uint64_t call, const SourceNews& news);
+void OnSourceAnswer(Model* model, size_t instance, uint64_t call, const SourceNews& news);
 
 void SendAnswer(Model* model, size_t server, const ModelWait& wait)
 {
@@ -192,12 +189,12 @@
         At(model, model->Now + OneWayUs, [=]() { CallFailed(model, to, call, false); });
         return;
     }
-    const TimeUs sent = Work(model, server, model->Now, MessageUs / 4); // Most of a message's work is at the one that reads it.
+    const TimeUs sent = QueueWork(model, server, model->Now, MessageUs / 4); // Sending costs less than reading.
     self.LinkUs = wait.Asker.Everything ? std::max(self.LinkUs, sent) + TransferUs : self.LinkUs;
     const TimeUs there = (wait.Asker.Everything ? self.LinkUs : sent) + OneWayUs;
     const TimeUs read = wait.Asker.Everything ? EverythingUs : MessageUs;
-    const SourceNews news = NewsOf(*model, self);
-    At(model, there, [=]() { At(model, Work(model, to, model->Now, read), [=]() { OnNews(model, to, call, news); }); });
+    const SourceNews news = SourceStateOf(*model, self);
+    At(model, there, [=]() { At(model, QueueWork(model, to, model->Now, read), [=]() { OnSourceAnswer(model, to, call, news); }); });
 }
 
 void EndWaits(Model* model, size_t server, const std::function<bool(const NewsAsker&)>& ends)
@@ -217,7 +214,7 @@
     }
 }
 
-void Tell(Model* model, size_t server)
+void AnswerFollowers(Model* model, size_t server)
 {
     ModelInstance& self = model->Fleet[server];
     self.ToldUs = model->Now;
@@ -243,15 +240,15 @@
     }
     else if (tell)
     {
-        Tell(model, instance);
+        AnswerFollowers(model, instance);
     }
     AnswerLeads(model, instance);
 }
 
-void OnNews(Model* model, size_t instance, uint64_t call, const SourceNews& news)
+void OnSourceAnswer(Model* model, size_t instance, uint64_t call, const SourceNews& news)
 {
     ModelInstance& self = model->Fleet[instance];
-    if (self.Life != Life_Up || self.Call != call)
+    if (self.State != ModelState_Up || self.Call != call)
     {
         return;
     }
@@ -259,11 +256,11 @@
     const uint64_t before = self.Following.At;
     const bool from_store = self.Following.Next.Kind == SourceKind_Store;
     const FollowVerdict_ verdict = FollowHeard(&self.Following, news, model->Now, &model->Rng);
-    model->Left += verdict == FollowVerdict_Behind || verdict == FollowVerdict_Ours ? 1 : 0;
+    model->SourcesLeft += verdict == FollowVerdict_Behind || verdict == FollowVerdict_Ours ? 1 : 0;
     const bool changed = self.Following.At > before;
     if (changed)
     {
-        Tell(model, instance);
+        AnswerFollowers(model, instance);
     }
     if (verdict == FollowVerdict_Lost)
     {
@@ -275,7 +272,7 @@
         self.Lost = false;
         if (found || self.Following.FreshUs >= self.ToldFreshUs + BeatUs)
         {
-            Tell(model, instance);
+            AnswerFollowers(model, instance);
         }
         AnswerLeads(model, instance);
     }
@@ -294,7 +291,7 @@
     const bool everything = following.At == 0;
     const uint64_t after = following.At;
     const TimeUs wait = step.WaitMostUs > 0 ? std::min(step.WaitMostUs, StoreWaitUs) : StoreWaitUs;
-    if (model->Silent || model->Mute(instance))
+    if (model->Silent || model->SilentTo(instance))
     {
         At(model, model->Now + wait + (StoreMarginUs << step.MarginDoublings), [=]() { CallFailed(model, instance, call, true); });
         return;
@@ -308,19 +305,19 @@
     const TimeUs answer = everything ? model->Now : std::max(model->Now, std::min(model->Now + wait, change));
     const auto answered = [=]()
     {
-        if (model->Silent || model->Mute(instance))
+        if (model->Silent || model->SilentTo(instance))
         {
             At(model, model->Now + StoreMarginUs, [=]() { CallFailed(model, instance, call, true); });
             return;
         }
         if (model->Refuses(instance, model->Now))
         {
-            CallFailed(model, instance, call, false); // A wait is cut.
+            CallFailed(model, instance, call, false); // Ends a long poll that is in progress.
             return;
         }
         const SourceNews news = {StoreRevision(*model, model->Now), 0, false, 0, ""};
-        const TimeUs read = Work(model, instance, model->Now + StoreUs, everything ? EverythingUs : MessageUs);
-        At(model, read, [=]() { OnNews(model, instance, call, news); });
+        const TimeUs read = QueueWork(model, instance, model->Now + StoreUs, everything ? EverythingUs : MessageUs);
+        At(model, read, [=]() { OnSourceAnswer(model, instance, call, news); });
     };
     At(model, answer, answered);
 }
@@ -346,14 +343,14 @@
         const auto sent_on = [=]()
         {
             ModelInstance& asker = model->Fleet[wait.From];
-            if (asker.Life == Life_Up && asker.Call == wait.Call)
+            if (asker.State == ModelState_Up && asker.Call == wait.Call)
             {
                 asker.Call = 0;
                 FollowSentOn(&asker.Following, answer.Elsewhere, &model->Rng);
                 Step(model, wait.From);
             }
         };
-        At(model, Work(model, server, model->Now, MessageUs / 4) + OneWayUs, sent_on);
+        At(model, QueueWork(model, server, model->Now, MessageUs / 4) + OneWayUs, sent_on);
         return;
     }
     self.Waits[wait.Call] = wait;
@@ -365,7 +362,7 @@
     const auto over = [=]()
     {
         ModelInstance& holder = model->Fleet[server];
-        if (holder.Life == Life_Up && holder.Waits.erase(wait.Call) > 0)
+        if (holder.State == ModelState_Up && holder.Waits.erase(wait.Call) > 0)
         {
             SendAnswer(model, server, wait);
         }
@@ -383,16 +380,16 @@
     const size_t server = InstanceAt(*model, step.Address);
     const auto arrives = [=]()
     {
-        const Life_ life = model->Fleet[server].Life;
-        if (life == Life_Up)
+        const ModelState_ state = model->Fleet[server].State;
+        if (state == ModelState_Up)
         {
             Serve(model, server, wait, most);
             return;
         }
-        const TimeUs told = life == Life_Gone ? OneWayUs : ConnectUs;
+        const TimeUs told = state == ModelState_Crashed ? OneWayUs : ConnectUs;
         At(model, model->Now + told, [=]() { CallFailed(model, instance, call, false); });
     };
-    At(model, model->Now + 2 * OneWayUs, arrives); // A connection, or the way there and some work.
+    At(model, model->Now + 2 * OneWayUs, arrives); // Opening a connection, or one way and processing.
     At(model, model->Now + most + margin, [=]() { CallFailed(model, instance, call, true); });
 }
 
@@ -404,7 +401,7 @@
     const auto ask = [=]()
     {
         const ModelInstance& asker = model->Fleet[instance];
-        if (asker.Life != Life_Up || asker.Call != call)
+        if (asker.State != ModelState_Up || asker.Call != call)
         {
             return;
         }
@@ -415,7 +412,7 @@
 }
 
 //-----------------------------------------------------------------------------
-// What happens to instances
+// Starts and stops of instances
 //-----------------------------------------------------------------------------
 
 void StartAt(Model* model, size_t instance, TimeUs when)
@@ -426,15 +423,15 @@
            ModelInstance fresh;
            const Follow& old = model->Fleet[instance].Following;
            FollowSetSources(&fresh.Following, old.Own, old.StoreAddress, old.Named, &model->Rng);
-           fresh.Life = Life_Up;
+           fresh.State = ModelState_Up;
            model->Fleet[instance] = fresh;
            FollowStart(&model->Fleet[instance].Following, model->Now);
            Step(model, instance);
        });
 }
 
-// Its process ends: those that wait there see their connections end; a machine without power says nothing.
-void EndAt(Model* model, size_t instance, Life_ life, TimeUs when)
+// Stops an instance. If its process ends, held calls fail at once; an unresponsive instance leaves them to time out.
+void StopAt(Model* model, size_t instance, ModelState_ state, TimeUs when)
 {
     At(model, when,
        [=]()
@@ -442,11 +439,11 @@
            ModelInstance& self = model->Fleet[instance];
            const std::map<uint64_t, ModelWait> waits = std::move(self.Waits);
            self.Waits.clear();
-           self.Life = life;
+           self.State = state;
            for (const auto& entry : waits)
            {
                const ModelWait wait = entry.second;
-               if (life == Life_Gone)
+               if (state == ModelState_Crashed)
                {
                    At(model, model->Now + OneWayUs, [=]() { CallFailed(model, wait.From, wait.Call, false); });
                }
@@ -454,7 +451,7 @@
        });
 }
 
-// All start within 0.3 s of each other; the first contacts `late` after that.
+// Starts the seeds at `from + late` and the others within 0.3 s after `from`.
 void StartAll(Model* model, TimeUs from, TimeUs late)
 {
     for (size_t n = 0; n < model->Fleet.size(); n++)
@@ -476,38 +473,38 @@
     model->Now = end;
 }
 
-struct Knowledge
+struct FleetAge
 {
-    size_t Without = 0;  // Instances that are up and know nothing.
-    TimeUs OldestUs = 0; // Age of the oldest knowledge of the others.
+    size_t Without = 0;  // Instances that are up and have no data yet.
+    TimeUs OldestUs = 0; // Largest age of the data at the others.
 };
 
-Knowledge Look(const Model& model)
+FleetAge MeasureFleet(const Model& model)
 {
-    Knowledge seen;
+    FleetAge seen;
     for (const ModelInstance& instance : model.Fleet)
     {
         const bool knows = instance.Following.At != 0;
-        seen.Without += instance.Life == Life_Up && !knows ? 1 : 0;
-        const bool counts = instance.Life == Life_Up && knows;
+        seen.Without += instance.State == ModelState_Up && !knows ? 1 : 0;
+        const bool counts = instance.State == ModelState_Up && knows;
         seen.OldestUs = counts ? std::max(seen.OldestUs, model.Now - instance.Following.FreshUs) : seen.OldestUs;
     }
     return seen;
 }
 
-// The oldest knowledge at any instance over a time, looked at ten times a second.
-TimeUs OldestUntil(Model* model, TimeUs end)
+// Runs until `end`; returns the largest age of data at any instance, sampled every 100 ms.
+TimeUs MaxAgeUntil(Model* model, TimeUs end)
 {
     TimeUs oldest = 0;
     while (model->Now < end)
     {
         RunUntil(model, std::min(end, model->Now + 100 * UsPerMs));
-        oldest = std::max(oldest, Look(*model).OldestUs);
+        oldest = std::max(oldest, MeasureFleet(*model).OldestUs);
     }
     return oldest;
 }
 
-std::string Calls(const Model& model)
+std::string DescribeCalls(const Model& model)
 {
     std::string text = fmt::format("{} calls:", model.StoreCalls);
     for (int reason = 1; reason < StoreReason_COUNT; reason++)
@@ -517,13 +514,13 @@
     return text;
 }
 
-// When all that are up know something; 0: not before `end`.
-TimeUs AllKnowAt(Model* model, TimeUs end)
+// Runs until all instances that are up have data and returns that time; 0 if they don't by `end`.
+TimeUs RunUntilAllHaveData(Model* model, TimeUs end)
 {
     while (model->Now < end)
     {
         RunUntil(model, model->Now + 10 * UsPerMs);
-        if (Look(*model).Without == 0)
+        if (MeasureFleet(*model).Without == 0)
         {
             return model->Now;
         }
@@ -536,32 +533,32 @@
 class FollowLoadTest : public CPPUNIT_NS::TestFixture
 {
     CPPUNIT_TEST_SUITE(FollowLoadTest);
-    CPPUNIT_TEST(AFleetThatStartsAtOnce);
-    CPPUNIT_TEST(CallersThatWaitForAStart);
-    CPPUNIT_TEST(AStoreThatRefusesAll);
-    CPPUNIT_TEST(AStoreThatIsSilent);
-    CPPUNIT_TEST(AStoreThatTurnsAwayAllFirstContacts);
-    CPPUNIT_TEST(AStoreThatIsSilentToSome);
-    CPPUNIT_TEST(AStartThatTheStoreTurnsAway);
-    CPPUNIT_TEST(FirstContactsLostInTurn);
-    CPPUNIT_TEST(AllFirstContactsLost);
-    CPPUNIT_TEST(RareEditsLeaveNobodyBehind);
-    CPPUNIT_TEST(CallsDoNotGrowWithTheFleet);
+    CPPUNIT_TEST(OnlySeedsReadTheStoreWhenAllStartAtOnce);
+    CPPUNIT_TEST(InstancesWithWaitingCallersReadTheStoreOnce);
+    CPPUNIT_TEST(FewCallsToAStoreThatRefusesAll);
+    CPPUNIT_TEST(FewCallsToAStoreThatDoesNotAnswer);
+    CPPUNIT_TEST(FollowersReadForSeedsThatTheStoreRefuses);
+    CPPUNIT_TEST(DataStaysFreshWhenTheStoreIgnoresSome);
+    CPPUNIT_TEST(StartCompletesWhenTheStoreRefusesAllSeeds);
+    CPPUNIT_TEST(DataStaysFreshWhenSeedsFailInTurn);
+    CPPUNIT_TEST(FewReadTheStoreWhenAllSeedsFail);
+    CPPUNIT_TEST(DataStaysFreshWhenEditsAreRare);
+    CPPUNIT_TEST(StoreCallsDoNotGrowWithTheFleet);
     CPPUNIT_TEST_SUITE_END();
 
-    // A fleet that runs: all know, and follow.
+    // Starts the fleet, waits until all instances have data, and resets the call counters.
     static void Settle(Model* model)
     {
         StartAll(model, 0, 0);
         RunUntil(model, 8 * UsPerSecond);
-        CPPUNIT_ASSERT_EQUAL(size_t{0}, Look(*model).Without);
+        CPPUNIT_ASSERT_EQUAL(size_t{0}, MeasureFleet(*model).Without);
         model->StoreCalls = 0;
         model->CallsFor = {};
     }
 
     static void CheckCalls(const Model& model, uint64_t most)
     {
-        CPPUNIT_ASSERT_MESSAGE(Calls(model), model.StoreCalls <= most);
+        CPPUNIT_ASSERT_MESSAGE(DescribeCalls(model), model.StoreCalls <= most);
     }
 
     static void CheckAge(TimeUs oldest, TimeUs most)
@@ -569,23 +566,23 @@
         CPPUNIT_ASSERT_MESSAGE(fmt::format("{} ms old", oldest / UsPerMs), oldest <= most);
     }
 
-    // All instances start at the same moment, as after a loss of power, and the first contacts last of all: 0.3 s later on the users'
-    // machines. Only these read the store. Everything then passes three levels of eight, each 20 ms for one transfer and 10 to read it.
-    void AFleetThatStartsAtOnce()
+    // All instances start at once, as after a power loss, and the seeds last, 0.3 s after the first. Only the seeds may read the store; the
+    // others get their copy through the fan-out.
+    void OnlySeedsReadTheStoreWhenAllStartAtOnce()
     {
         Model model;
         StartAll(&model, 0, 300 * UsPerMs);
         RunUntil(&model, 300 * UsPerMs);
-        const TimeUs all = AllKnowAt(&model, 5 * UsPerSecond);
+        const TimeUs all = RunUntilAllHaveData(&model, 5 * UsPerSecond);
         CPPUNIT_ASSERT_MESSAGE(fmt::format("{} ms", all / UsPerMs), all > 0 && all <= 800 * UsPerMs);
         CPPUNIT_ASSERT_EQUAL(uint64_t{ContactCount}, model.CallsFor[StoreReason_Start]);
         CPPUNIT_ASSERT_EQUAL(uint64_t{0}, model.CallsFor[StoreReason_Alone]);
         CheckCalls(model, 15);
     }
 
-    // After a loss of power callers have been waiting, and the first contacts come back last. Seventeen instances have callers enough, as
-    // on the users' small deployments: each asks the store, once, and serves them without the first contacts. The others of the fleet wait.
-    void CallersThatWaitForAStart()
+    // Callers wait while the seeds are not up yet. Each of the 17 instances with enough waiting callers reads the store once; the other
+    // instances wait for the seeds.
+    void InstancesWithWaitingCallersReadTheStoreOnce()
     {
         constexpr size_t needed = 17;
         Model model(60);
@@ -600,7 +597,7 @@
                     Step(&model, n);
                 }
             };
-            At(&model, 301 * UsPerMs, callers_wait); // All have started; some have found a first contact silent already.
+            At(&model, 301 * UsPerMs, callers_wait); // All but the seeds have started; some have already had a call to a seed fail.
         }
         RunUntil(&model, 450 * UsPerMs);
         for (size_t n = ContactCount; n < model.Fleet.size(); n++)
@@ -609,14 +606,14 @@
             CPPUNIT_ASSERT_EQUAL_MESSAGE(fmt::format("instance {}", n), n < ContactCount + needed, knows);
         }
         RunUntil(&model, 1200 * UsPerMs);
-        CPPUNIT_ASSERT_EQUAL(size_t{0}, Look(model).Without);
+        CPPUNIT_ASSERT_EQUAL(size_t{0}, MeasureFleet(model).Without);
         CPPUNIT_ASSERT_EQUAL(uint64_t{needed}, model.CallsFor[StoreReason_Alone]);
         CheckCalls(model, needed + 10);
     }
 
-    // The store refuses every call for 8 s, as on the users' days. The three first contacts try it about once a second each, and have one
-    // follower each try it: 6 calls a second, whatever the size of the fleet. All know again within 1.5 s of its return.
-    void AStoreThatRefusesAll()
+    // The store refuses every call for 8 s. Each seed and one follower on its behalf try it about once a second, whatever the size of the
+    // fleet. All have current data within 1.5 s of its return.
+    void FewCallsToAStoreThatRefusesAll()
     {
         Model model;
         Settle(&model);
@@ -630,11 +627,11 @@
         CheckCalls(model, 90);
         CPPUNIT_ASSERT_EQUAL(uint64_t{0}, model.CallsFor[StoreReason_Alone]);
         RunUntil(&model, to + 1500 * UsPerMs);
-        CheckAge(Look(model).OldestUs, UsPerSecond);
+        CheckAge(MeasureFleet(model).OldestUs, UsPerSecond);
     }
 
-    // The store reads calls and answers none for 8 s: the same, with fewer calls, as each waits.
-    void AStoreThatIsSilent()
+    // The store accepts calls and answers none for 8 s: as above, with fewer calls because each runs into its timeout.
+    void FewCallsToAStoreThatDoesNotAnswer()
     {
         Model model;
         Settle(&model);
@@ -643,12 +640,12 @@
         CheckCalls(model, 40);
         model.Silent = false;
         RunUntil(&model, model.Now + 3 * UsPerSecond);
-        CheckAge(Look(model).OldestUs, UsPerSecond);
+        CheckAge(MeasureFleet(model).OldestUs, UsPerSecond);
     }
 
-    // The store turns away all first contacts and a third of the others, for 9 s: followers read it for them. Nobody's knowledge gets
-    // older than 2 s, the tightest of the users' bounds for an edit.
-    void AStoreThatTurnsAwayAllFirstContacts()
+    // The store refuses all seeds and a third of the others for 9 s: followers read it for the seeds. No instance's data may get older
+    // than 2 s.
+    void FollowersReadForSeedsThatTheStoreRefuses()
     {
         Model model;
         Settle(&model);
@@ -656,32 +653,31 @@
         {
             return instance < ContactCount || instance % 3 == 0;
         };
-        const TimeUs oldest = OldestUntil(&model, model.Now + 9 * UsPerSecond);
+        const TimeUs oldest = MaxAgeUntil(&model, model.Now + 9 * UsPerSecond);
         CheckAge(oldest, 2 * UsPerSecond);
         CheckCalls(model, 130);
     }
 
-    // The store says nothing to the first contact that reads it and to a third of the others, all of a sudden. It takes the reader 1.35 s
-    // to notice; nobody's knowledge may get older than the users' bound for a target that leaves, 2 s, but for the 0.1 s that it is looked
-    // at in.
-    void AStoreThatIsSilentToSome()
+    // The store stops answering the seed that reads it and a third of the others. No instance's data may get older than 2 s, the bound for
+    // noticing a target that is draining.
+    void DataStaysFreshWhenTheStoreIgnoresSome()
     {
         TimeUs oldest = 0;
         for (uint64_t seed = 1; seed <= 60; seed++)
         {
             Model model(13, seed);
             Settle(&model);
-            model.Mute = [](size_t instance)
+            model.SilentTo = [](size_t instance)
             {
                 return instance == 0 || instance % 3 == 1;
             };
-            oldest = std::max(oldest, OldestUntil(&model, model.Now + 4 * UsPerSecond));
+            oldest = std::max(oldest, MaxAgeUntil(&model, model.Now + 4 * UsPerSecond));
         }
         CheckAge(oldest, 2 * UsPerSecond);
     }
 
-    // The same while all start: those that wait at a first contact for its knowledge read the store for it.
-    void AStartThatTheStoreTurnsAway()
+    // The store refuses all seeds and a third of the others during a start: instances that wait at a seed for data read the store for it.
+    void StartCompletesWhenTheStoreRefusesAllSeeds()
     {
         Model model;
         model.Refuses = [](size_t instance, TimeUs)
@@ -690,65 +686,64 @@
         };
         StartAll(&model, 0, 0);
         RunUntil(&model, 300 * UsPerMs);
-        const TimeUs all = AllKnowAt(&model, 8 * UsPerSecond);
+        const TimeUs all = RunUntilAllHaveData(&model, 8 * UsPerSecond);
         CPPUNIT_ASSERT_MESSAGE(fmt::format("{} ms", all / UsPerMs), all > 0 && all <= UsPerSecond);
         CheckCalls(model, 30);
     }
 
-    // The first contacts are lost one after the other, by a kill or without a word, and each is back 2 s later.
-    void FirstContactsLostInTurn()
+    // The seeds fail one after the other, by a crash or by freezing, and each is back 2 s later.
+    void DataStaysFreshWhenSeedsFailInTurn()
     {
-        for (const Life_ life : {Life_Gone, Life_Silent})
+        for (const ModelState_ state : {ModelState_Crashed, ModelState_Unresponsive})
         {
             Model model;
             Settle(&model);
             for (size_t n = 0; n < ContactCount; n++)
             {
                 const TimeUs when = model.Now + static_cast<TimeUs>(n) * 3 * UsPerSecond;
-                EndAt(&model, n, life, when);
+                StopAt(&model, n, state, when);
                 StartAt(&model, n, when + 2 * UsPerSecond);
             }
-            CheckAge(OldestUntil(&model, model.Now + 10 * UsPerSecond), 2 * UsPerSecond);
+            CheckAge(MaxAgeUntil(&model, model.Now + 10 * UsPerSecond), 2 * UsPerSecond);
             CheckCalls(model, 60);
             CPPUNIT_ASSERT_EQUAL(uint64_t{0}, model.CallsFor[StoreReason_Alone]);
         }
     }
 
-    // All first contacts are gone at once, for 3 s: a few of those left go to the store by themselves, and the others find them. Without
-    // that each of the 470 would ask once a second.
-    void AllFirstContactsLost()
+    // All seeds fail at once, for 3 s: only a few of the other instances may read the store, and the rest follow these.
+    void FewReadTheStoreWhenAllSeedsFail()
     {
-        for (const Life_ life : {Life_Gone, Life_Silent})
+        for (const ModelState_ state : {ModelState_Crashed, ModelState_Unresponsive})
         {
             Model model;
             Settle(&model);
             for (size_t n = 0; n < ContactCount; n++)
             {
-                EndAt(&model, n, life, model.Now);
+                StopAt(&model, n, state, model.Now);
                 StartAt(&model, n, model.Now + 3 * UsPerSecond);
             }
-            CheckAge(OldestUntil(&model, model.Now + 9 * UsPerSecond), 4 * UsPerSecond);
+            CheckAge(MaxAgeUntil(&model, model.Now + 9 * UsPerSecond), 4 * UsPerSecond);
             CheckCalls(model, 300);
             CPPUNIT_ASSERT(model.CallsFor[StoreReason_Alone] > 0);
             CPPUNIT_ASSERT(model.CallsFor[StoreReason_Alone] < FleetSize / 8);
         }
     }
 
-    // Edits that come less often than the time after which a wait ends by itself, so that the two meet at any distance: nobody misses that
-    // nothing has changed, as half of a chain did who waited again a moment too late, and no source is left for being behind.
-    void RareEditsLeaveNobodyBehind()
+    // Edits are rarer than the timeout of a long poll. Every instance must still learn in time that its data is current, also if it polls
+    // again just after its source was confirmed, and no source is left for being behind.
+    void DataStaysFreshWhenEditsAreRare()
     {
         Model model;
         model.EditUs = 3700 * UsPerMs;
         Settle(&model);
-        model.Left = 0;
-        const TimeUs oldest = OldestUntil(&model, model.Now + 120 * UsPerSecond);
-        CPPUNIT_ASSERT_EQUAL(uint64_t{0}, model.Left);
+        model.SourcesLeft = 0;
+        const TimeUs oldest = MaxAgeUntil(&model, model.Now + 120 * UsPerSecond);
+        CPPUNIT_ASSERT_EQUAL(uint64_t{0}, model.SourcesLeft);
         CheckAge(oldest, 1500 * UsPerMs);
     }
 
-    // A quiet fleet of any size costs the store the calls of one reader.
-    void CallsDoNotGrowWithTheFleet()
+    // In normal operation the store gets the calls of one reader, whatever the size of the fleet.
+    void StoreCallsDoNotGrowWithTheFleet()
     {
         uint64_t calls = 0;
         for (const size_t size : {size_t{30}, size_t{100}, size_t{473}, size_t{1500}})
