--- a/tests/fanout_load_test.cpp
+++ b/tests/fanout_load_test.cpp
@@ -1,7 +1,5 @@
-// fanout_load_test.cpp: a fleet over several data centres that begins to follow, in virtual time: how often news cross between data
-// centres.
-//
-// The decisions are the library's own (Fanout). Sizes are those of the users' deployments: 117 instances in three data centres, 587 in six.
+// fanout_load_test.cpp: simulates a fleet in several data centres whose instances choose their sources, in virtual time with the library's
+// Fanout. Guards against too many transfers between data centres and against sources with too many followers.
 
 #include "check.h"
 
@@ -17,7 +15,7 @@
     Fanout Spread;
     std::string Address;
     std::string DataCentre;
-    int Follows = -1; // Another instance; none: it reads the store.
+    int Follows = -1; // Index of its source; -1 if it reads the store.
     std::vector<int> Followers;
 };
 
@@ -66,13 +64,13 @@
     return static_cast<int>(std::find_if(fleet.Instances.begin(), fleet.Instances.end(), has) - fleet.Instances.begin());
 }
 
-// Asks a first contact, and whoever it is sent to, until one lets it wait. Returns how many it asked.
+// Calls a seed and the instances that it is redirected to until one accepts it as a follower. Returns the number of calls.
 static int Join(FanoutFleet* fleet, int instance)
 {
     FanoutInstance& self = fleet->Instances[static_cast<size_t>(instance)];
     const bool contact = instance < ContactCount;
     int at = contact ? 0 : std::uniform_int_distribution<int>(0, ContactCount - 1)(fleet->Rng);
-    for (int asked = 1;; asked++)
+    for (int calls = 1;; calls++)
     {
         FanoutInstance& holder = fleet->Instances[static_cast<size_t>(at)];
         NewsAsker asker;
@@ -85,68 +83,68 @@
         {
             self.Follows = at;
             holder.Followers.push_back(instance);
-            return asked;
+            return calls;
         }
         at = FindByAddress(*fleet, answer.Elsewhere.front());
     }
 }
 
-static FanoutFleet Joined(int instances, int data_centres, int* most_asked)
+static FanoutFleet MakeJoinedFleet(int instances, int data_centres, int* max_calls)
 {
     FanoutFleet fleet = MakeFleet(instances, data_centres);
     for (int n = 1; n < instances; n++)
     {
-        *most_asked = std::max(*most_asked, Join(&fleet, n));
+        *max_calls = std::max(*max_calls, Join(&fleet, n));
     }
     return fleet;
 }
 
-// Of those that follow one in another data centre.
-static int Crossings(const FanoutFleet& fleet)
+// Number of instances that follow a source in another data centre.
+static int CountRemoteFollowers(const FanoutFleet& fleet)
 {
-    int crossings = 0;
+    int remote = 0;
     for (const FanoutInstance& one : fleet.Instances)
     {
-        const bool crosses = one.Follows >= 0 && fleet.Instances[static_cast<size_t>(one.Follows)].DataCentre != one.DataCentre;
-        crossings += crosses ? 1 : 0;
+        const bool is_remote = one.Follows >= 0 && fleet.Instances[static_cast<size_t>(one.Follows)].DataCentre != one.DataCentre;
+        remote += is_remote ? 1 : 0;
     }
-    return crossings;
+    return remote;
 }
 
 class FanoutLoadTest : public CPPUNIT_NS::TestFixture
 {
     CPPUNIT_TEST_SUITE(FanoutLoadTest);
-    CPPUNIT_TEST(NewsCrossAFewTimesForEachDataCentre);
-    CPPUNIT_TEST(NobodyServesMoreThanItMay);
-    CPPUNIT_TEST(StartsAreServedInTheirOwnDataCentre);
-    CPPUNIT_TEST(ALostStoreIsHeardFromUs);
-    CPPUNIT_TEST(WithoutDataCentresNewsCrossForMostInstances);
+    CPPUNIT_TEST(FewFollowersHaveARemoteSource);
+    CPPUNIT_TEST(NoSourceHasTooManyFollowers);
+    CPPUNIT_TEST(FullReadsAreRedirectedToTheirOwnDataCentre);
+    CPPUNIT_TEST(ALostStoreIsReportedWithoutARedirect);
+    CPPUNIT_TEST(WithoutDataCentresMostSourcesAreRemote);
     CPPUNIT_TEST_SUITE_END();
 
-    void NewsCrossAFewTimesForEachDataCentre()
+    void FewFollowersHaveARemoteSource()
     {
         for (const auto& [instances, data_centres] : std::vector<std::pair<int, int>>{{117, 3}, {587, 6}, {1200, 6}})
         {
-            int asked = 0;
-            const FanoutFleet fleet = Joined(instances, data_centres, &asked);
+            int calls = 0;
+            const FanoutFleet fleet = MakeJoinedFleet(instances, data_centres, &calls);
             const FanoutConfig config;
-            // Each first contact serves so many in each other data centre, and the first contacts follow one of them.
+            // Each seed serves FarMost followers in each other data centre, and the seeds follow one of the seeds.
             const int allowed = ContactCount * (data_centres - 1) * static_cast<int>(config.FarMost) + ContactCount;
-            CPPUNIT_ASSERT(Crossings(fleet) <= allowed);
-            CPPUNIT_ASSERT(asked <= 5);
+            CPPUNIT_ASSERT(CountRemoteFollowers(fleet) <= allowed);
+            CPPUNIT_ASSERT(calls <= 5);
         }
     }
 
-    void NobodyServesMoreThanItMay()
+    void NoSourceHasTooManyFollowers()
     {
-        int asked = 0;
-        for (const FanoutInstance& one : Joined(1200, 6, &asked).Instances)
+        int calls = 0;
+        for (const FanoutInstance& one : MakeJoinedFleet(1200, 6, &calls).Instances)
         {
             CPPUNIT_ASSERT(one.Followers.size() <= one.Spread.Config.FollowersMost);
         }
     }
 
-    void StartsAreServedInTheirOwnDataCentre()
+    void FullReadsAreRedirectedToTheirOwnDataCentre()
     {
         Fanout spread;
         Random random(1);
@@ -167,7 +165,7 @@
         CPPUNIT_ASSERT_EQUAL(static_cast<int>(spread.Config.FarMost), here);
     }
 
-    void ALostStoreIsHeardFromUs()
+    void ALostStoreIsReportedWithoutARedirect()
     {
         Fanout spread;
         Random random(1);
@@ -184,8 +182,8 @@
         CPPUNIT_ASSERT_EQUAL(NewsVerdict_Answer, FanoutAsked(&spread, asker, holder, UsPerSecond, &random).Verdict);
     }
 
-    // Planted: instances that don't say where they are.
-    void WithoutDataCentresNewsCrossForMostInstances()
+    // Counter-check: without data centres in the requests, most followers have a source in another data centre.
+    void WithoutDataCentresMostSourcesAreRemote()
     {
         FanoutFleet fleet = MakeFleet(117, 3);
         std::vector<std::string> where;
@@ -202,7 +200,7 @@
         {
             fleet.Instances[n].DataCentre = where[n];
         }
-        CPPUNIT_ASSERT(Crossings(fleet) > 117 / 2);
+        CPPUNIT_ASSERT(CountRemoteFollowers(fleet) > 117 / 2);
     }
 };
 
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -1,4 +1,5 @@
-// relay_test.cpp: reading through few: what instances hand on to each other, and what happens when a source fails.
+// relay_test.cpp: instances that get the store's changes from each other. Guards against lost updates, needless calls to the store, and
+// followers that stay with a source that failed or is behind.
 
 #include "gateway_rig.h"
 #include "socket.h"
@@ -28,7 +29,7 @@
     return page;
 }
 
-// A listening socket whose owner stands still: connections come up and nothing is ever answered.
+// A listening socket of a frozen process: connections are established and nothing is answered.
 struct FrozenPeer
 {
     std::string Address;
@@ -52,29 +53,29 @@
 class RelayTest : public CPPUNIT_NS::TestFixture
 {
     CPPUNIT_TEST_SUITE(RelayTest);
-    CPPUNIT_TEST(MessagesComeThrough);
-    CPPUNIT_TEST(BytesThatAreNoMessageAreRefused);
-    CPPUNIT_TEST(FollowersLeaveTheStoreAlone);
-    CPPUNIT_TEST(FollowersOfFollowersAreAsFresh);
-    CPPUNIT_TEST(FollowersOutliveTheirReader);
+    CPPUNIT_TEST(PagesSurviveEncodingAndDecoding);
+    CPPUNIT_TEST(MalformedPagesAreRefused);
+    CPPUNIT_TEST(FollowersDoNotCallTheStore);
+    CPPUNIT_TEST(UpdatesReachFollowersOfFollowers);
+    CPPUNIT_TEST(FollowersSurviveTheStopOfTheirReader);
     CPPUNIT_TEST(FollowersLeaveAFrozenReader);
     CPPUNIT_TEST(FollowersLeaveAReaderThatLostTheStore);
-    CPPUNIT_TEST(ReadersFollowOthersWhenTheStoreTurnsThemAway);
-    CPPUNIT_TEST(NobodyGoesBackToAReaderThatIsBehind);
-    CPPUNIT_TEST(StartsFromPeersWhenTheStoreIsAway);
-    CPPUNIT_TEST(FollowersThatWereAwayForLongReadEverything);
-    CPPUNIT_TEST(AStartWaitsForAFirstContactThatKnowsNothingYet);
-    CPPUNIT_TEST(StartsAreSentOnToEachOther);
-    CPPUNIT_TEST(CallersThatWaitAreWorthACall);
-    CPPUNIT_TEST(AStoreThatRefusesAllIsAskedByFewOnly);
-    CPPUNIT_TEST(AFollowerReadsForAFirstContactThatIsTurnedAway);
-    CPPUNIT_TEST(AFirstContactStartsThroughAnInstanceThatWaitsForIt);
-    CPPUNIT_TEST(ForgottenHistoryCostsFollowersNothing);
-    CPPUNIT_TEST(NewsReachThoseWhoseSourceHasLostTheStore);
-    CPPUNIT_TEST(StalePeerNamesDoNoHarm);
+    CPPUNIT_TEST(ReadersFollowOthersWhenTheStoreRefusesThem);
+    CPPUNIT_TEST(FollowersRejectAReaderThatIsBehind);
+    CPPUNIT_TEST(StartsFromPeersWhenTheStoreRefuses);
+    CPPUNIT_TEST(FollowersReadEverythingWhenChangesAreNoLongerKept);
+    CPPUNIT_TEST(AStartWaitsForASeedWithoutData);
+    CPPUNIT_TEST(FullReadsAreRedirectedToOtherStartingInstances);
+    CPPUNIT_TEST(WaitingCallersMakeAStartReadTheStore);
+    CPPUNIT_TEST(AFailedStoreGetsFewCalls);
+    CPPUNIT_TEST(AFollowerReadsForASeedThatTheStoreRefuses);
+    CPPUNIT_TEST(ASeedStartsThroughAFollowerThatWaitsForIt);
+    CPPUNIT_TEST(FollowersNeedNoFullReadWhenTheStoreDropsHistory);
+    CPPUNIT_TEST(UpdatesReachFollowersOfASourceThatLostTheStore);
+    CPPUNIT_TEST(InstancesStartWhenAllSeedsAreUnreachable);
     CPPUNIT_TEST_SUITE_END();
 
-    void MessagesComeThrough()
+    void PagesSurviveEncodingAndDecoding()
     {
         CHECK_PROPERTY(
             "a page is read as it was written",
@@ -94,7 +95,7 @@
             });
     }
 
-    void BytesThatAreNoMessageAreRefused()
+    void MalformedPagesAreRefused()
     {
         CHECK_PROPERTY("cut or changed bytes give an error or a page, never more",
                        []()
@@ -112,10 +113,10 @@
                            const Result<StorePage> read = DecodePage(bytes);
                            RC_ASSERT(read || read.error().Code == Code_MessageMalformed);
                        });
-        CPPUNIT_ASSERT(!DecodePage(std::string("\xff\xff\xff\xff", 4) + "x")); // Would be four gigabytes.
+        CPPUNIT_ASSERT(!DecodePage(std::string("\xff\xff\xff\xff", 4) + "x")); // A length of 4 GiB in the first bytes.
     }
 
-    // An instance that others know by name, and so reads the store.
+    // Settings of a seed: the other instances name it, and it reads the store.
     static Settings ReaderSettings(const Rig& rig, const std::vector<std::string>& readers, size_t index)
     {
         Settings settings = RigSettings(rig);
@@ -139,7 +140,7 @@
                following.At != 0;
     }
 
-    void FollowersLeaveTheStoreAlone()
+    void FollowersDoNotCallTheStore()
     {
         Rig rig;
         RigTarget(&rig, "t1");
@@ -158,13 +159,13 @@
         for (const Gateway* follower : followers)
         {
             RigAwait(&rig, *follower, 2);
-            CPPUNIT_ASSERT_EQUAL(uint64_t{0}, StoreCalls(follower->Store)); // Not even its start.
+            CPPUNIT_ASSERT_EQUAL(uint64_t{0}, StoreCalls(follower->Store)); // Not even at its start.
         }
     }
 
-    // A reader that takes two followers: six more go to those, and on to theirs. What the last one knows is as fresh as what the reader
-    // knows.
-    void FollowersOfFollowersAreAsFresh()
+    // Each instance takes at most two followers, so at least six of eight are redirected down the tree. Updates must reach all levels of
+    // it.
+    void UpdatesReachFollowersOfFollowers()
     {
         Rig rig;
         RigTarget(&rig, "t1");
@@ -173,30 +174,30 @@
         std::vector<Gateway*> all = {&RigStartWith(&rig, ReaderSettings(rig, readers, 0))};
         all[0]->Peers.Spread.Config.FollowersMost = 2;
         RigAwait(&rig, *all[0], 1);
-        int referred = 0;
+        int redirected = 0;
         for (int n = 0; n < 8; n++)
         {
             all.push_back(&RigStartWith(&rig, FollowerSettings(rig, readers)));
             all.back()->Peers.Spread.Config.FollowersMost = 2;
             RigAwait(&rig, *all.back(), 1);
-            RigIdle(&rig, 20 * UsPerMs); // It waits for changes somewhere.
+            RigIdle(&rig, 20 * UsPerMs); // It now waits for changes at its source.
         }
         RigIdle(&rig, 3 * UsPerSecond);
         for (const Gateway* instance : all)
         {
-            referred += instance->Store.Following.Sent ? 1 : 0;
+            redirected += instance->Store.Following.Sent ? 1 : 0;
             CPPUNIT_ASSERT(instance->Peers.Waits.size() <= 2);
             CPPUNIT_ASSERT_EQUAL(uint64_t{0}, instance->Store.CallsFailed);
         }
-        CPPUNIT_ASSERT(referred >= 6);
+        CPPUNIT_ASSERT(redirected >= 6);
         RigTarget(&rig, "t2");
         RigConfigure(&rig, {UsersRoute()});
         for (const Gateway* instance : all)
         {
             RigAwait(&rig, *instance, 2);
         }
-        CPPUNIT_ASSERT_EQUAL(1, rig.Store.PageCalls); // The reader's start.
-        ListenerStop(&all[1]->Peers.Server);          // Those that followed it find others.
+        CPPUNIT_ASSERT_EQUAL(1, rig.Store.PageCalls); // At the start of the reader.
+        ListenerStop(&all[1]->Peers.Server);          // Its followers must find other sources.
         RigConfigure(&rig, {UsersRoute()});
         for (const Gateway* instance : all)
         {
@@ -204,7 +205,7 @@
         }
     }
 
-    void FollowersOutliveTheirReader()
+    void FollowersSurviveTheStopOfTheirReader()
     {
         Rig rig;
         RigTarget(&rig, "t1");
@@ -218,7 +219,7 @@
         ListenerStop(&reader.Peers.Server);
         RigConfigure(&rig, {UsersRoute()});
         RigAwait(&rig, follower, 1);
-        CPPUNIT_ASSERT(!follower.Requests.Directory.InTrouble); // The loss of a peer is not the loss of the store.
+        CPPUNIT_ASSERT(!follower.Requests.Directory.InTrouble); // A lost peer doesn't count as a lost store.
     }
 
     void FollowersLeaveAFrozenReader()
@@ -236,7 +237,7 @@
     void FollowersLeaveAReaderThatLostTheStore()
     {
         Rig rig;
-        UsersStore second; // The same store, seen by the other instances while the first one's door is shut.
+        UsersStore second; // A second store for the reader, which stops answering while the follower's store works.
         CPPUNIT_ASSERT(bool(UsersStoreStart(&second, &rig.Loop, FreeAddress())));
         RigConfigure(&rig, {UsersRoute()});
         UsersStoreConfigure(&second, 1, {UsersRoute()});
@@ -254,7 +255,7 @@
         RigAwait(&rig, follower, 0);
     }
 
-    void ReadersFollowOthersWhenTheStoreTurnsThemAway()
+    void ReadersFollowOthersWhenTheStoreRefusesThem()
     {
         Rig rig;
         UsersStore shut;
@@ -274,10 +275,10 @@
         CPPUNIT_ASSERT(FollowsAPeer(first));
     }
 
-    void NobodyGoesBackToAReaderThatIsBehind()
+    void FollowersRejectAReaderThatIsBehind()
     {
         Rig rig;
-        UsersStore old; // Stands still at an early revision.
+        UsersStore old; // Stays at an early revision.
         CPPUNIT_ASSERT(bool(UsersStoreStart(&old, &rig.Loop, FreeAddress())));
         UsersStoreConfigure(&old, 1, {UsersRoute()});
         RigConfigure(&rig, {UsersRoute()});
@@ -293,7 +294,7 @@
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return old_reader.Requests.Plan != nullptr; }));
         Gateway& follower = RigStartWith(&rig, FollowerSettings(rig, good));
         RigAwait(&rig, follower, 0);
-        // The settings name another first contact, and the one before is gone.
+        // The settings name another seed, and the previous one has stopped.
         FollowSetSources(&follower.Store.Following, follower.Config.PeerAddress, rig.Store.Address, old_ones, &follower.Rng);
         ListenerStop(&reader.Peers.Server);
         const uint64_t failures = follower.Store.CallsFailed;
@@ -303,7 +304,7 @@
         RigAwait(&rig, follower, 0);
     }
 
-    void StartsFromPeersWhenTheStoreIsAway()
+    void StartsFromPeersWhenTheStoreRefuses()
     {
         Rig rig;
         RigTarget(&rig, "t1");
@@ -318,7 +319,7 @@
         CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, late, RigCall()).Answer.Status);
     }
 
-    void FollowersThatWereAwayForLongReadEverything()
+    void FollowersReadEverythingWhenChangesAreNoLongerKept()
     {
         Rig rig;
         RigConfigure(&rig, {UsersRoute()});
@@ -350,8 +351,8 @@
         return gateway.Requests.Plan != nullptr && gateway.Requests.Plan->Version == rig.Version;
     }
 
-    // Of a fleet that starts at once, the first contact may be the last to know: nobody goes to the store instead.
-    void AStartWaitsForAFirstContactThatKnowsNothingYet()
+    // When all start at once, a seed may have no data yet: its followers wait for it and don't read the store themselves.
+    void AStartWaitsForASeedWithoutData()
     {
         Rig rig;
         RigTarget(&rig, "t1");
@@ -362,13 +363,13 @@
         reader.Store.FromStore.ReadUs = 150 * UsPerMs;
         const Gateway& follower = RigStartWith(&rig, FollowerSettings(rig, readers));
         RigIdle(&rig, 100 * UsPerMs);
-        CPPUNIT_ASSERT_EQUAL(size_t{1}, reader.Peers.Waits.size()); // It is held there.
+        CPPUNIT_ASSERT_EQUAL(size_t{1}, reader.Peers.Waits.size()); // The seed holds the follower's call.
         UsersStoreSetMode(&rig.Store, StoreMode_Good);
         RigAwait(&rig, follower, 1);
     }
 
-    // One that serves two starts at a time sends the third on to them, and it is held there.
-    void StartsAreSentOnToEachOther()
+    // A seed that serves two full reads at a time redirects further instances to those two, which hold their calls.
+    void FullReadsAreRedirectedToOtherStartingInstances()
     {
         Rig rig;
         RigTarget(&rig, "t1");
@@ -385,27 +386,27 @@
         {
             followers.push_back(&RigStartWith(&rig, FollowerSettings(rig, readers)));
         }
-        int sent = 0;
+        int redirected_count = 0;
         for (const Gateway* follower : followers)
         {
             RigAwait(&rig, *follower, 1);
             CPPUNIT_ASSERT_EQUAL(uint64_t{0}, StoreCalls(follower->Store));
-            sent += follower->Store.Following.Sent ? 1 : 0;
+            redirected_count += follower->Store.Following.Sent ? 1 : 0;
         }
-        CPPUNIT_ASSERT_EQUAL(4, sent);
+        CPPUNIT_ASSERT_EQUAL(4, redirected_count);
     }
 
-    // The first contact is silent: without callers a start waits for it, with enough of them it asks the store.
-    void CallersThatWaitAreWorthACall()
+    // The seed doesn't answer: an instance that starts waits for it, and reads the store only if enough callers wait.
+    void WaitingCallersMakeAStartReadTheStore()
     {
         Rig rig;
         RigTarget(&rig, "t1");
         RigConfigure(&rig, {UsersRoute()});
         const FrozenPeer frozen;
         Gateway& instance = RigStartWith(&rig, FollowerSettings(rig, {frozen.Address}));
-        instance.Store.FromInstance.ReadUs = 50 * UsPerMs;    // It is found silent soon,
-        instance.Store.Following.Config.AloneUs = RigLimitUs; // and nothing else leads to the store.
-        instance.Requests.Config.FirstPlanUs = RigLimitUs;    // However slow this machine is.
+        instance.Store.FromInstance.ReadUs = 50 * UsPerMs;    // The call to the seed soon times out,
+        instance.Store.Following.Config.AloneUs = RigLimitUs; // and no fallback leads to the store.
+        instance.Requests.Config.FirstPlanUs = RigLimitUs;    // Callers are not refused, even on a slow machine.
         RigIdle(&rig, 300 * UsPerMs);
         CPPUNIT_ASSERT_EQUAL(uint64_t{0}, StoreCalls(instance.Store));
         std::vector<RigAnswerPtr> answers;
@@ -426,8 +427,8 @@
         CPPUNIT_ASSERT(instance.Store.StoreCallsFor[StoreReason_Alone] >= 1);
     }
 
-    // Followers hear that the store is lost and leave it alone: only the reader, and a follower for it, ask.
-    void AStoreThatRefusesAllIsAskedByFewOnly()
+    // Followers are told that the store is lost and don't call it: only the reader, and one follower on its behalf, do.
+    void AFailedStoreGetsFewCalls()
     {
         Rig rig;
         RigTarget(&rig, "t1");
@@ -450,7 +451,7 @@
         CPPUNIT_ASSERT(RigRun(&rig, all_told));
         const int calls = rig.Store.Calls;
         RigIdle(&rig, 3 * UsPerSecond);
-        CPPUNIT_ASSERT(rig.Store.Calls - calls <= 16); // Twelve that ask at most once a second would be 36.
+        CPPUNIT_ASSERT(rig.Store.Calls - calls <= 16); // Twelve followers that call once a second would make 36.
         UsersStoreSetMode(&rig.Store, StoreMode_Good);
         RigConfigure(&rig, {UsersRoute()});
         for (const Gateway* follower : followers)
@@ -459,10 +460,10 @@
         }
     }
 
-    void AFollowerReadsForAFirstContactThatIsTurnedAway()
+    void AFollowerReadsForASeedThatTheStoreRefuses()
     {
         Rig rig;
-        UsersStore shut; // The same store, as it is seen by the reader.
+        UsersStore shut; // The reader's own store, which later refuses its calls.
         CPPUNIT_ASSERT(bool(UsersStoreStart(&shut, &rig.Loop, FreeAddress())));
         RigConfigure(&rig, {UsersRoute()});
         UsersStoreConfigure(&shut, 1, {UsersRoute()});
@@ -489,7 +490,7 @@
         CPPUNIT_ASSERT_EQUAL(uint64_t{0}, one.Store.StoreCallsFor[StoreReason_Alone] + other.Store.StoreCallsFor[StoreReason_Alone]);
     }
 
-    void AFirstContactStartsThroughAnInstanceThatWaitsForIt()
+    void ASeedStartsThroughAFollowerThatWaitsForIt()
     {
         Rig rig;
         UsersStore shut;
@@ -506,8 +507,9 @@
         CPPUNIT_ASSERT(follower.Store.StoreCallsFor[StoreReason_Asked] >= 1);
     }
 
-    // The reader reads everything again; its followers get what differs, also what went meanwhile.
-    void ForgottenHistoryCostsFollowersNothing()
+    // The store no longer has the changes that the reader needs. The reader reads everything again, and its followers get only the
+    // differences, including removed entries.
+    void FollowersNeedNoFullReadWhenTheStoreDropsHistory()
     {
         Rig rig;
         RigConfigure(&rig, {UsersRoute()});
@@ -521,7 +523,7 @@
         Gateway& follower = RigStartWith(&rig, FollowerSettings(rig, readers));
         RigAwait(&rig, follower, 5);
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return FollowsAPeer(follower) && reader.Peers.Waits.size() == 1; }));
-        UsersStoreSetMode(&rig.Store, StoreMode_Deaf); // What goes now is not told.
+        UsersStoreSetMode(&rig.Store, StoreMode_Deaf); // From here on the store reports no changes.
         UsersStoreRemove(&rig.Store, "servers/t0");
         UsersStoreTarget(&rig.Store, "t9", "svc", "127.0.0.1:1009", "dc-a");
         UsersStoreSetMode(&rig.Store, StoreMode_Good);
@@ -534,12 +536,12 @@
         };
         CPPUNIT_ASSERT(RigRun(&rig, noticed));
         CPPUNIT_ASSERT(reader.Store.StoreCallsFor[StoreReason_History] >= 1);
-        CPPUNIT_ASSERT(follower.Peers.ChangesFrom < reader.Store.Following.At); // It has read everything once, at its start.
+        CPPUNIT_ASSERT(follower.Peers.ChangesFrom < reader.Store.Following.At); // The follower made a full read only at its start.
         CPPUNIT_ASSERT_EQUAL(uint64_t{0}, StoreCalls(follower.Store));
     }
 
-    // What a source learnt before it lost the store is worth having.
-    void NewsReachThoseWhoseSourceHasLostTheStore()
+    // A source that lost the store must still pass on the updates that it got before.
+    void UpdatesReachFollowersOfASourceThatLostTheStore()
     {
         Rig rig;
         RigConfigure(&rig, {UsersRoute()});
@@ -557,7 +559,7 @@
         RigAwait(&rig, late, 0);
     }
 
-    void StalePeerNamesDoNoHarm()
+    void InstancesStartWhenAllSeedsAreUnreachable()
     {
         Rig rig;
         RigConfigure(&rig, {UsersRoute()});
