--- a/tests/directory_test.cpp
+++ b/tests/directory_test.cpp
@@ -1,4 +1,5 @@
-// directory_test.cpp: the target directory against a simple oracle, and its rule for entries that vanish.
+// directory_test.cpp: the target directory compared with a simple model, and the removal of missing entries. Guards against reordered or
+// repeated updates that leave the directory in a state other than the store's.
 
 #include "check.h"
 
@@ -27,16 +28,16 @@
 class DirectoryTest : public CPPUNIT_NS::TestFixture
 {
     CPPUNIT_TEST_SUITE(DirectoryTest);
-    CPPUNIT_TEST(EndsWhereTheStoreIsInWhateverOrder);
-    CPPUNIT_TEST(LeavingIsForGood);
-    CPPUNIT_TEST(VanishedEntriesGoInTime);
-    CPPUNIT_TEST(LostEntriesWaitForTheStoresReturn);
-    CPPUNIT_TEST(EvacuationsEndWhereTheStoreIsInWhateverOrder);
-    CPPUNIT_TEST(NothingOlderUndoesAnEvacuation);
+    CPPUNIT_TEST(MatchesTheStoreWhateverTheOrderOfUpdates);
+    CPPUNIT_TEST(DrainingTargetsStayDraining);
+    CPPUNIT_TEST(MissingEntriesAreRemovedAfterADelay);
+    CPPUNIT_TEST(MissingEntriesAreKeptAfterTheStoreRecovers);
+    CPPUNIT_TEST(EvacuationsMatchTheStoreWhateverTheOrderOfUpdates);
+    CPPUNIT_TEST(OlderRevisionsDoNotChangeAnEvacuation);
     CPPUNIT_TEST_SUITE_END();
 
-    // Changes and whole reads reach an instance late, again, and in any order; what counts is the highest revision of each entry.
-    void EndsWhereTheStoreIsInWhateverOrder()
+    // Updates and full reads may arrive late, repeatedly and in any order; the highest revision of each entry decides.
+    void MatchesTheStoreWhateverTheOrderOfUpdates()
     {
         CHECK_PROPERTY("after a last whole read, the directory holds what the store holds",
                        []()
@@ -44,7 +45,7 @@
                            Dice dice;
                            TargetDirectory directory;
                            std::map<std::string, DirectoryTarget> store;
-                           std::vector<std::pair<DirectoryTarget, bool>> changes; // Entry, and whether it went.
+                           std::vector<std::pair<DirectoryTarget, bool>> changes; // Entry, and whether it was removed.
                            TimeUs now = UsPerSecond;
                            uint64_t revision = 0;
                            for (int step = 0; step < 60; step++)
@@ -62,14 +63,14 @@
                                {
                                    store[id] = Entry(id, revision);
                                }
-                               const auto& heard = changes[static_cast<size_t>(dice.Between(0, static_cast<int64_t>(changes.size())))];
-                               if (heard.second)
+                               const auto& received = changes[static_cast<size_t>(dice.Between(0, static_cast<int64_t>(changes.size())))];
+                               if (received.second)
                                {
-                                   DirectoryRemove(&directory, heard.first.Id, heard.first.Revision, now);
+                                   DirectoryRemove(&directory, received.first.Id, received.first.Revision, now);
                                }
                                else
                                {
-                                   DirectoryPut(&directory, heard.first, now);
+                                   DirectoryPut(&directory, received.first, now);
                                }
                                DirectoryTick(&directory, now);
                            }
@@ -89,18 +90,18 @@
                        });
     }
 
-    void LeavingIsForGood()
+    void DrainingTargetsStayDraining()
     {
         TargetDirectory directory;
         DirectoryPut(&directory, Entry("t", 5), 0);
-        DirectoryLeaves(&directory, "t"); // By its own word, before the store knows.
+        DirectoryLeaves(&directory, "t"); // Announced by the target itself, before its entry in the store changes.
         DirectoryPut(&directory, Entry("t", 6), 0);
         CPPUNIT_ASSERT_EQUAL(Presence_Leaving, PresenceOf(directory, "t"));
         DirectoryRemove(&directory, "t", 7, 0);
         CPPUNIT_ASSERT_EQUAL(Presence_COUNT, PresenceOf(directory, "t"));
     }
 
-    void VanishedEntriesGoInTime()
+    void MissingEntriesAreRemovedAfterADelay()
     {
         TargetDirectory directory;
         DirectoryPut(&directory, Entry("t", 5), 0);
@@ -109,25 +110,25 @@
         CPPUNIT_ASSERT_EQUAL(Presence_Ready, PresenceOf(directory, "t"));
         DirectoryRemove(&directory, "t", 6, went);
         CPPUNIT_ASSERT_EQUAL(Presence_Vanished, PresenceOf(directory, "t"));
-        DirectoryPut(&directory, Entry("t", 5), went); // Heard late: the entry has gone since.
+        DirectoryPut(&directory, Entry("t", 5), went); // Arrives late: the entry was removed since.
         CPPUNIT_ASSERT_EQUAL(Presence_Vanished, PresenceOf(directory, "t"));
         CPPUNIT_ASSERT(!DirectoryTick(&directory, went + directory.Config.VanishedUs - 1));
         CPPUNIT_ASSERT(DirectoryTick(&directory, went + directory.Config.VanishedUs));
         CPPUNIT_ASSERT(directory.Targets.empty());
-        // A target that left serves on for two seconds after its entry went, and gets nothing later than that.
+        // A target keeps serving for two seconds after its entry was removed; it must get no request after that.
         CPPUNIT_ASSERT(directory.Config.VanishedUs < 2 * UsPerSecond);
     }
 
-    // Words on data centres, and entries of targets in them, reach an instance late, again, and in any order.
-    void EvacuationsEndWhereTheStoreIsInWhateverOrder()
+    // Evacuations and target entries may arrive late, repeatedly and in any order; the highest revision decides.
+    void EvacuationsMatchTheStoreWhateverTheOrderOfUpdates()
     {
         CHECK_PROPERTY("after a last whole read, targets are evacuated where the store says so, and nowhere else",
                        []()
                        {
                            Dice dice;
                            TargetDirectory directory;
-                           std::map<std::string, bool> store; // By data centre: whether it is evacuated.
-                           std::vector<std::pair<std::string, Evacuation>> words;
+                           std::map<std::string, bool> store; // Whether each data centre is evacuated.
+                           std::vector<std::pair<std::string, Evacuation>> evacuations;
                            uint64_t revision = 0;
                            for (int step = 0; step < 60; step++)
                            {
@@ -136,9 +137,10 @@
                                target.DataCentre = fmt::format("dc{}", dice.Between(0, 3));
                                DirectoryPut(&directory, target, 0);
                                store[data_centre] = dice.OneIn(2);
-                               words.push_back({data_centre, {store[data_centre], ++revision}});
-                               const auto& heard = words[static_cast<size_t>(dice.Between(0, static_cast<int64_t>(words.size())))];
-                               DirectoryEvacuate(&directory, heard.first, heard.second);
+                               evacuations.push_back({data_centre, {store[data_centre], ++revision}});
+                               const auto& received =
+                                   evacuations[static_cast<size_t>(dice.Between(0, static_cast<int64_t>(evacuations.size())))];
+                               DirectoryEvacuate(&directory, received.first, received.second);
                            }
                            std::set<std::string> evacuated;
                            for (const auto& entry : store)
@@ -157,26 +159,26 @@
                        });
     }
 
-    void NothingOlderUndoesAnEvacuation()
+    void OlderRevisionsDoNotChangeAnEvacuation()
     {
         TargetDirectory directory;
         CPPUNIT_ASSERT(DirectoryEvacuate(&directory, "dc", {true, 7}));
         CPPUNIT_ASSERT(!DirectoryEvacuate(&directory, "dc", {true, 7}));
         CPPUNIT_ASSERT(!DirectoryEvacuate(&directory, "dc", {false, 6}));
-        CPPUNIT_ASSERT(DirectoryKeepEvacuated(&directory, {}, 6).empty()); // Read before it began.
+        CPPUNIT_ASSERT(DirectoryKeepEvacuated(&directory, {}, 6).empty()); // Read before the evacuation began.
         DirectoryTarget target = Entry("t", 5);
         target.DataCentre = "dc";
         DirectoryPut(&directory, target, 0);
         CPPUNIT_ASSERT(directory.Targets.at("t").Evacuated);
         CPPUNIT_ASSERT(DirectoryEvacuate(&directory, "dc", {false, 9}));
         CPPUNIT_ASSERT(!directory.Targets.at("t").Evacuated);
-        CPPUNIT_ASSERT(!DirectoryEvacuate(&directory, "dc", {true, 8})); // Handed on late: it was given back since.
+        CPPUNIT_ASSERT(!DirectoryEvacuate(&directory, "dc", {true, 8})); // Arrives late: the evacuation has ended since.
         CPPUNIT_ASSERT(DirectoryEvacuate(&directory, "dc", {true, 10}));
         CPPUNIT_ASSERT_EQUAL(size_t{1}, DirectoryKeepEvacuated(&directory, {}, 11).size());
         CPPUNIT_ASSERT(!directory.Targets.at("t").Evacuated);
     }
 
-    void LostEntriesWaitForTheStoresReturn()
+    void MissingEntriesAreKeptAfterTheStoreRecovers()
     {
         TargetDirectory directory;
         DirectoryPut(&directory, Entry("t", 5), 0);
@@ -185,7 +187,7 @@
         DirectoryAnswered(&directory, returned);
         DirectoryKeep(&directory, {}, 9, returned);
         CPPUNIT_ASSERT_EQUAL(Presence_Vanished, PresenceOf(directory, "t"));
-        DirectoryTick(&directory, returned + 2 * UsPerSecond); // Entries are back within two seconds.
+        DirectoryTick(&directory, returned + 2 * UsPerSecond); // Targets write their entries again within two seconds.
         CPPUNIT_ASSERT_EQUAL(Presence_Vanished, PresenceOf(directory, "t"));
         DirectoryPut(&directory, Entry("t", 10), returned + 2 * UsPerSecond);
         CPPUNIT_ASSERT_EQUAL(Presence_Ready, PresenceOf(directory, "t"));
--- a/tests/evacuation_test.cpp
+++ b/tests/evacuation_test.cpp
@@ -1,5 +1,5 @@
-// evacuation_test.cpp: a data centre that operators evacuate: an instance's requests, questions and second attempts leave its targets
-// alone, whoever tells of it and whatever becomes of the store.
+// evacuation_test.cpp: evacuated data centres. Guards against requests, probes and hedged requests to targets in an evacuated data centre,
+// whether the instance learns of the evacuation from the store or a peer, and also while the store is unavailable.
 
 #include "clock.h"
 #include "gateway_rig.h"
@@ -27,7 +27,7 @@
     CPPUNIT_ASSERT(RigRun(rig, done));
 }
 
-// Asks `count` times, one after the other; all must be answered.
+// Sends `count` requests in sequence; all must be answered with 200.
 static void AskGood(Rig* rig, const Gateway& instance, int count)
 {
     for (int n = 0; n < count; n++)
@@ -47,25 +47,25 @@
 class EvacuationTest : public CPPUNIT_NS::TestFixture
 {
     CPPUNIT_TEST_SUITE(EvacuationTest);
-    CPPUNIT_TEST(TargetsOfTheDataCentreGetNothing);
-    CPPUNIT_TEST(NobodyIsSentToUnaskedTargetsThere);
-    CPPUNIT_TEST(RequestsInProgressEndInPeace);
-    CPPUNIT_TEST(WorkOfBeforeIsNotCountedTwice);
-    CPPUNIT_TEST(WaitingRequestsGoElsewhere);
-    CPPUNIT_TEST(ASecondAttemptDoesNotGoThere);
+    CPPUNIT_TEST(EvacuatedTargetsGetNoRequests);
+    CPPUNIT_TEST(EvacuatedTargetsWithoutLoadReportsGetNoRequests);
+    CPPUNIT_TEST(RequestsInProgressAreCompleted);
+    CPPUNIT_TEST(EarlierRequestsDoNotChangeTheInFlightCount);
+    CPPUNIT_TEST(WaitingRequestsGoToOtherTargets);
+    CPPUNIT_TEST(HedgedRequestsAvoidEvacuatedTargets);
     CPPUNIT_TEST(WithNoTargetLeftARequestIsRefusedAtOnce);
-    CPPUNIT_TEST(SeveralAtOnceAndTwoInARow);
-    CPPUNIT_TEST(AnUnknownNameDoesNoHarm);
-    CPPUNIT_TEST(TargetsThatJoinLaterGetNothing);
-    CPPUNIT_TEST(AStartSendsNothingThere);
-    CPPUNIT_TEST(HoldsWhileTheStoreIsAway);
-    CPPUNIT_TEST(ReachesAStartWhileTheStoreIsAway);
-    CPPUNIT_TEST(ReachesFollowersOfAFirstContactThatIsTurnedAway);
-    CPPUNIT_TEST(SurvivesForgottenHistory);
+    CPPUNIT_TEST(SeveralAndSuccessiveEvacuations);
+    CPPUNIT_TEST(AnUnknownDataCentreIsIgnored);
+    CPPUNIT_TEST(TargetsThatJoinLaterGetNoRequests);
+    CPPUNIT_TEST(AnInstanceThatStartsSendsNothingToEvacuatedTargets);
+    CPPUNIT_TEST(StaysInForceWhileTheStoreIsUnavailable);
+    CPPUNIT_TEST(ReachesAnInstanceThatStartsWhileTheStoreIsUnavailable);
+    CPPUNIT_TEST(ReachesASeedThatCannotReachTheStore);
+    CPPUNIT_TEST(IsReadAgainWhenTheStoreDropsHistory);
     CPPUNIT_TEST(IsShownToOperators);
     CPPUNIT_TEST_SUITE_END();
 
-    void TargetsOfTheDataCentreGetNothing()
+    void EvacuatedTargetsGetNoRequests()
     {
         Rig rig;
         const UsersTarget& near = RigTarget(&rig, "near", "svc", "dc-a");
@@ -80,14 +80,14 @@
         AskGood(&rig, instance, 3);
         CPPUNIT_ASSERT_EQUAL(size_t{2}, near.Saw.size());
         CPPUNIT_ASSERT_EQUAL(size_t{3}, far.Saw.size());
-        CPPUNIT_ASSERT_EQUAL(asked, near.HealthAsked); // Questions about load are left out too.
+        CPPUNIT_ASSERT_EQUAL(asked, near.HealthAsked); // Its targets get no load probes either.
         UsersStoreGiveBack(&rig.Store, "dc-a");
         AwaitEvacuated(&rig, instance, "dc-a", false);
         AskGood(&rig, instance, 3);
         CPPUNIT_ASSERT(near.Saw.size() > 2);
     }
 
-    void NobodyIsSentToUnaskedTargetsThere()
+    void EvacuatedTargetsWithoutLoadReportsGetNoRequests()
     {
         Rig rig;
         UsersTarget& near = RigTarget(&rig, "near", "svc", "dc-a");
@@ -104,7 +104,7 @@
         CPPUNIT_ASSERT_EQUAL(before, near.Saw.size());
     }
 
-    void RequestsInProgressEndInPeace()
+    void RequestsInProgressAreCompleted()
     {
         Rig rig;
         UsersTarget& near = RigTarget(&rig, "near", "svc", "dc-a");
@@ -123,8 +123,8 @@
         CPPUNIT_ASSERT(!near.Saw.at(0).Cancelled);
     }
 
-    // A request that ends after its target has been evacuated and given back belongs to the time before.
-    void WorkOfBeforeIsNotCountedTwice()
+    // A request that ends after its target was evacuated and given back must not change the new in-flight count.
+    void EarlierRequestsDoNotChangeTheInFlightCount()
     {
         Rig rig;
         UsersTarget& near = RigTarget(&rig, "near", "svc", "dc-a");
@@ -146,18 +146,18 @@
         CPPUNIT_ASSERT_EQUAL(0, PoolFind(&instance.Requests.Services.at("svc").Pool, "near")->InFlight);
     }
 
-    void WaitingRequestsGoElsewhere()
+    void WaitingRequestsGoToOtherTargets()
     {
         Rig rig;
         UsersTarget& near = RigTarget(&rig, "near", "svc", "dc-a");
         UsersTarget& far = RigTarget(&rig, "far", "svc", "dc-b");
         for (UsersTarget* target : {&near, &far})
         {
-            target->Slots = 2; // Of which the last answer that comes from there leaves none in use.
+            target->Slots = 2; // Two requests fill a target; the last answer reports no slot in use.
             target->WorkUs = UsPerSecond;
         }
         UsersRoute patient;
-        patient.AimS = 80; // Choosing takes a fifth of it.
+        patient.AimS = 80; // A fifth of it may be spent on choosing a target.
         patient.TimeoutS = 90;
         RigConfigure(&rig, {patient});
         const Gateway& instance = RigInstance(&rig, 2);
@@ -178,19 +178,19 @@
         CPPUNIT_ASSERT_EQUAL(size_t{3}, far.Saw.size());
     }
 
-    void ASecondAttemptDoesNotGoThere()
+    void HedgedRequestsAvoidEvacuatedTargets()
     {
         Rig rig;
         UsersTarget& near = RigTarget(&rig, "near", "svc", "dc-a");
         const UsersTarget& far = RigTarget(&rig, "far", "svc", "dc-b");
         RigConfigure(&rig, {UsersRoute()});
         const Gateway& instance = RigInstance(&rig, 2);
-        AskGood(&rig, instance, 10); // What the work takes is known.
+        AskGood(&rig, instance, 10); // The usual response time is known.
         UsersStoreEvacuate(&rig.Store, "dc-b");
         AwaitEvacuated(&rig, instance, "dc-b", true);
         const size_t before = far.Saw.size();
         const int asked = far.HealthAsked;
-        near.WorkUs = 300 * UsPerMs; // Far beyond what was expected.
+        near.WorkUs = 300 * UsPerMs; // Far above the usual response time.
         AskGood(&rig, instance, 1);
         CPPUNIT_ASSERT_EQUAL(before, far.Saw.size());
         CPPUNIT_ASSERT_EQUAL(asked, far.HealthAsked);
@@ -201,7 +201,7 @@
         Rig rig;
         const UsersTarget& near = RigTarget(&rig, "near", "svc", "dc-a");
         UsersRoute patient;
-        patient.AimS = 100; // A request that waited for a target would hang the test.
+        patient.AimS = 100; // If the request waited for a target, the test would time out.
         patient.TimeoutS = 110;
         RigConfigure(&rig, {patient});
         const Gateway& instance = RigInstance(&rig, 1);
@@ -219,7 +219,7 @@
         AskGood(&rig, instance, 1);
     }
 
-    void SeveralAtOnceAndTwoInARow()
+    void SeveralAndSuccessiveEvacuations()
     {
         Rig rig;
         const UsersTarget& a = RigTarget(&rig, "a", "svc", "dc-a");
@@ -245,7 +245,7 @@
         CPPUNIT_ASSERT_EQUAL(size_t{2}, c.Saw.size());
     }
 
-    void AnUnknownNameDoesNoHarm()
+    void AnUnknownDataCentreIsIgnored()
     {
         Rig rig;
         RigTarget(&rig, "a", "svc", "dc-a");
@@ -257,7 +257,7 @@
         AskGood(&rig, instance, 1);
     }
 
-    void TargetsThatJoinLaterGetNothing()
+    void TargetsThatJoinLaterGetNoRequests()
     {
         Rig rig;
         const UsersTarget& far = RigTarget(&rig, "far", "svc", "dc-b");
@@ -273,14 +273,14 @@
         CPPUNIT_ASSERT_EQUAL(size_t{3}, far.Saw.size());
     }
 
-    void AStartSendsNothingThere()
+    void AnInstanceThatStartsSendsNothingToEvacuatedTargets()
     {
         Rig rig;
         const UsersTarget& near = RigTarget(&rig, "near", "svc", "dc-a");
         RigConfigure(&rig, {UsersRoute()});
         UsersStoreEvacuate(&rig.Store, "dc-a");
         const Gateway& instance = RigStart(&rig);
-        const RigAnswer answer = RigAsk(&rig, instance, RigCall()); // Perhaps before it has its plan.
+        const RigAnswer answer = RigAsk(&rig, instance, RigCall()); // Possibly before the instance has a plan.
         CPPUNIT_ASSERT_EQUAL(503, answer.Answer.Status);
         RigAwait(&rig, instance, 1);
         CPPUNIT_ASSERT_EQUAL(EvacuatedCode, CodeOf(RigAsk(&rig, instance, RigCall())));
@@ -288,7 +288,7 @@
         CPPUNIT_ASSERT_EQUAL(0, near.HealthAsked);
     }
 
-    void HoldsWhileTheStoreIsAway()
+    void StaysInForceWhileTheStoreIsUnavailable()
     {
         Rig rig;
         const UsersTarget& near = RigTarget(&rig, "near", "svc", "dc-a");
@@ -307,7 +307,7 @@
         CPPUNIT_ASSERT(IsEvacuated(instance, "dc-a"));
     }
 
-    void ReachesAStartWhileTheStoreIsAway()
+    void ReachesAnInstanceThatStartsWhileTheStoreIsUnavailable()
     {
         Rig rig;
         const UsersTarget& near = RigTarget(&rig, "near", "svc", "dc-a");
@@ -329,7 +329,7 @@
         CPPUNIT_ASSERT(near.Saw.empty());
     }
 
-    void ReachesFollowersOfAFirstContactThatIsTurnedAway()
+    void ReachesASeedThatCannotReachTheStore()
     {
         Rig rig;
         const UsersTarget& near = RigTarget(&rig, "near", "svc", "dc-a");
@@ -338,7 +338,7 @@
         Settings first = RigSettings(rig);
         first.PeerAddress = FreeAddress();
         first.Peers = {first.PeerAddress};
-        first.StoreAddress = FreeAddress(); // Nobody listens there: to this instance the store is away from the start.
+        first.StoreAddress = FreeAddress(); // No process listens there: this instance never reaches the store.
         const Gateway& contact = RigStartWith(&rig, first);
         Settings second = RigSettings(rig);
         second.PeerAddress = FreeAddress();
@@ -356,8 +356,8 @@
         AwaitEvacuated(&rig, contact, "dc-a", false);
     }
 
-    // An evacuation that began, and one that ended, in changes that nobody can be told any more.
-    void SurvivesForgottenHistory()
+    // One evacuation begins and one ends in changes that the store no longer keeps: the full read that follows must show both.
+    void IsReadAgainWhenTheStoreDropsHistory()
     {
         Rig rig;
         RigTarget(&rig, "a", "svc", "dc-a");
--- a/tests/foreign_entries_test.cpp
+++ b/tests/foreign_entries_test.cpp
@@ -1,7 +1,5 @@
-// foreign_entries_test.cpp: items of the store that another writer has invalid: each names no target, and all others hold.
-//
-// Seen before there were these tests: one item whose bytes can't be read made all items that were read with it unreadable, so that no
-// instance could start; a state that has no meaning counted as ready; a target whose entry was invalid stayed in use.
+// foreign_entries_test.cpp: invalid items in the store, as other programs may write them. Guards against an invalid item that blocks the
+// valid ones, counts as a ready target, or leaves its target in use.
 
 #include "clock.h"
 #include "gateway_rig.h"
@@ -16,7 +14,7 @@
 
 static const std::string BadKey = "servers/bad";
 
-// An entry as targets write it, before it is invalid.
+// A valid entry as targets write it.
 static JsonPtr GoodEntry(const std::string& address)
 {
     return {json_pack("{s:s, s:I, s:{s:s, s:s, s:s, s:i}, s:{s:s, s:i, s:i}}", "address", address.c_str(), "born",
@@ -25,7 +23,7 @@
             json_decref};
 }
 
-// One way to spoil an entry: a member gets another value, or goes.
+// A change that makes an entry invalid: a member gets another value or is removed.
 struct InvalidMember
 {
     const char* Object; // "info", "status", or empty: the entry itself.
@@ -68,7 +66,7 @@
     return DumpJson(json_incref(entry.get()), JSON_COMPACT);
 }
 
-// Items of the store that can't be read themselves.
+// Items of the store with a key whose value or revision can't be read.
 static const std::string InvalidItems[] = {
     R"({"privateKey":"servers/bad","value":7})",
     R"({"privateKey":"servers/bad","value":"%%%"})",
@@ -76,16 +74,16 @@
     R"({"privateKey":"servers/bad","value":"e30=","revision":"new"})",
 };
 
-// The same, and they name nothing.
+// Items of the store without a usable key.
 static const std::string NamelessItems[] = {R"({"value":"e30="})", R"({"privateKey":5,"value":"e30="})", "7", "null", "[]"};
 
-struct ForeignSetting
+struct ForeignEntriesRig
 {
     Rig Parts;
     UsersTarget* Bad = nullptr;
     Gateway* Instance = nullptr;
 
-    ForeignSetting()
+    ForeignEntriesRig()
     {
         RigTarget(&Parts, "t1");
         Bad = &RigTarget(&Parts, "bad");
@@ -103,7 +101,7 @@
         UsersStorePut(&Parts.Store, BadKey, DumpJson(json_incref(GoodEntry(Bad->Address).get()), JSON_COMPACT));
     }
 
-    // Whether a start that finds this uses all targets but that one.
+    // Checks that an instance that starts with the change in place uses all targets but "bad".
     void CheckStart(const std::string& what, const std::function<void()>& put)
     {
         put();
@@ -113,7 +111,7 @@
         Parts.Instances.clear();
     }
 
-    // The same, and an instance to which it is a change: it takes more than a second until a target is forgotten.
+    // Checks the same for a start and for an instance that gets the change while it runs. Slow: removing a target takes over a second.
     void CheckChange(const std::string& what, const std::function<void()>& put)
     {
         CheckStart(what, put);
@@ -131,19 +129,19 @@
 class ForeignEntriesTest : public CPPUNIT_NS::TestFixture
 {
     CPPUNIT_TEST_SUITE(ForeignEntriesTest);
-    CPPUNIT_TEST(AnInvalidEntryNamesNoTarget);
-    CPPUNIT_TEST(AnItemThatCantBeReadNamesNoTarget);
-    CPPUNIT_TEST(ItemsWithoutANameHideNothing);
-    CPPUNIT_TEST(AnInvalidPlanLeavesTheOneInForce);
-    CPPUNIT_TEST(FollowersHearOfItAsItIs);
+    CPPUNIT_TEST(InvalidEntriesAreIgnored);
+    CPPUNIT_TEST(UnreadableItemsAreIgnored);
+    CPPUNIT_TEST(ItemsWithoutAKeyDoNotHideOthers);
+    CPPUNIT_TEST(AnInvalidPlanKeepsThePreviousOne);
+    CPPUNIT_TEST(FollowersDropTargetsWithInvalidEntries);
     CPPUNIT_TEST(OperatorsSeeWhatIsInvalid);
-    CPPUNIT_TEST(ExactlyTheGoodOnesAreNamed);
-    CPPUNIT_TEST(AnInvalidRowLeavesTheTableInForce);
+    CPPUNIT_TEST(ExactlyTheValidEntriesAreUsed);
+    CPPUNIT_TEST(AnInvalidRowKeepsThePreviousTable);
     CPPUNIT_TEST_SUITE_END();
 
-    void AnInvalidEntryNamesNoTarget()
+    void InvalidEntriesAreIgnored()
     {
-        ForeignSetting setting;
+        ForeignEntriesRig setting;
         for (const InvalidMember& member : InvalidMembers)
         {
             const std::string entry = InvalidEntry(setting.Bad->Address, member);
@@ -157,18 +155,18 @@
         }
     }
 
-    void AnItemThatCantBeReadNamesNoTarget()
+    void UnreadableItemsAreIgnored()
     {
-        ForeignSetting setting;
+        ForeignEntriesRig setting;
         for (const std::string& item : InvalidItems)
         {
             setting.CheckChange(item, [&]() { UsersStorePutForeign(&setting.Parts.Store, BadKey, item); });
         }
     }
 
-    void ItemsWithoutANameHideNothing()
+    void ItemsWithoutAKeyDoNotHideOthers()
     {
-        ForeignSetting setting;
+        ForeignEntriesRig setting;
         size_t n = 0;
         for (const std::string& item : NamelessItems)
         {
@@ -181,12 +179,12 @@
             UsersStorePutForeign(&setting.Parts.Store, fmt::format("x{}", n++), item);
         }
         UsersStoreRemove(&setting.Parts.Store, "servers/t1");
-        CPPUNIT_ASSERT(RigRun(&setting.Parts, [&]() { return !setting.Uses("t1"); })); // What comes after them is heard.
+        CPPUNIT_ASSERT(RigRun(&setting.Parts, [&]() { return !setting.Uses("t1"); })); // Changes that follow the invalid items take effect.
     }
 
-    void AnInvalidPlanLeavesTheOneInForce()
+    void AnInvalidPlanKeepsThePreviousOne()
     {
-        ForeignSetting setting;
+        ForeignEntriesRig setting;
         setting.Instance = &RigInstance(&setting.Parts, 2);
         UsersStorePutForeign(&setting.Parts.Store, "op/config", R"({"privateKey":"op/config","value":"%"})");
         RigTarget(&setting.Parts, "t3");
@@ -198,10 +196,10 @@
         CPPUNIT_ASSERT(setting.Instance->Invalid.empty());
     }
 
-    // One that follows another instance loses the target as well, and gets it back with the next good entry.
-    void FollowersHearOfItAsItIs()
+    // A follower also drops a target whose entry becomes invalid, and uses it again after the next valid entry.
+    void FollowersDropTargetsWithInvalidEntries()
     {
-        ForeignSetting setting;
+        ForeignEntriesRig setting;
         Settings first = RigSettings(setting.Parts);
         first.PeerAddress = FreeAddress();
         first.Peers = {first.PeerAddress};
@@ -220,7 +218,7 @@
 
     void OperatorsSeeWhatIsInvalid()
     {
-        ForeignSetting setting;
+        ForeignEntriesRig setting;
         UsersStorePut(&setting.Parts.Store, BadKey, "no JSON");
         setting.Instance = &RigInstance(&setting.Parts, 1);
         CPPUNIT_ASSERT(StatusText(*setting.Instance).find(BadKey) != std::string::npos);
@@ -231,13 +229,13 @@
         CPPUNIT_ASSERT(RigRun(&setting.Parts, [&]() { return setting.Instance->Invalid.size() == 1; }));
         UsersStoreRemove(&setting.Parts.Store, BadKey);
         CPPUNIT_ASSERT(RigRun(&setting.Parts, [&]() { return setting.Instance->Invalid.empty(); }));
-        UsersStorePut(&setting.Parts.Store, BadKey, "no JSON"); // Both changes come in one answer.
+        UsersStorePut(&setting.Parts.Store, BadKey, "no JSON"); // Both changes arrive in one answer.
         setting.PutGood();
         CPPUNIT_ASSERT(RigRun(&setting.Parts, [&]() { return setting.Uses("bad"); }));
         CPPUNIT_ASSERT(setting.Instance->Invalid.empty());
     }
 
-    void ExactlyTheGoodOnesAreNamed()
+    void ExactlyTheValidEntriesAreUsed()
     {
         CHECK_PROPERTY("of a page of good and invalid entries the good ones are named, whatever stands beside them",
                        []()
@@ -272,7 +270,7 @@
                        });
     }
 
-    void AnInvalidRowLeavesTheTableInForce()
+    void AnInvalidRowKeepsThePreviousTable()
     {
         const Result<StorePage> page = TableAdapter().Dialect.ReadPage(
             R"({"at":9,"rows":[7,{"name":"a","revision":3,"row":"no"},{"name":"b","revision":4,"gone":true}]})");
