--- a/tests/soak_audit_test.cpp
+++ b/tests/soak_audit_test.cpp
@@ -1,4 +1,4 @@
-// soak_audit_test.cpp: the checks of the gateway soak each find a planted breach, and nothing in a clean log.
+// soak_audit_test.cpp: each check of the gateway soak must find the violation that a log contains, and nothing in a clean log.
 
 #include "check.h"
 #include "soak_audit.h"
@@ -8,7 +8,7 @@
 
 static constexpr TimeUs Start = 100 * UsPerSecond;
 
-static SoakRequest Asked(const std::string& id, int status, bool repeatable)
+static SoakRequest MakeRequest(const std::string& id, int status, bool repeatable)
 {
     SoakRequest request;
     request.Id = id;
@@ -21,19 +21,19 @@
     return request;
 }
 
-static SoakArrival Arrived(const std::string& id, TimeUs at, bool run)
+static SoakArrival MakeArrival(const std::string& id, TimeUs at, bool run)
 {
     return {id, "t1", "svc", 0, at, run, ""};
 }
 
-// One request served, nothing done to anybody.
+// A log with one served request and no faults.
 static SoakLog CleanLog()
 {
     SoakLog log;
     log.Instances = 2;
     log.Versions = {{"svc", Start - 50 * UsPerSecond}};
-    log.Requests = {Asked("q1", 200, false)};
-    log.Arrivals = {Arrived("q1", Start + UsPerMs, true)};
+    log.Requests = {MakeRequest("q1", 200, false)};
+    log.Arrivals = {MakeArrival("q1", Start + UsPerMs, true)};
     log.RecoveryAsked = 100;
     log.RecoveryGood = 99;
     return log;
@@ -49,25 +49,25 @@
 class SoakAuditTest : public CPPUNIT_NS::TestFixture
 {
     CPPUNIT_TEST_SUITE(SoakAuditTest);
-    CPPUNIT_TEST(NothingInACleanLog);
+    CPPUNIT_TEST(FindsNothingInACleanLog);
     CPPUNIT_TEST(RunTwice);
     CPPUNIT_TEST(RefusedAndRun);
-    CPPUNIT_TEST(RunBehindAClosingAnswer);
+    CPPUNIT_TEST(RunAfterAClosingAnswer);
     CPPUNIT_TEST(ForeignAnswers);
-    CPPUNIT_TEST(UnaskedRuns);
+    CPPUNIT_TEST(RunsWithoutARequest);
     CPPUNIT_TEST(CutRequests);
-    CPPUNIT_TEST(RequestsToLeavingTargets);
+    CPPUNIT_TEST(RequestsToDrainingTargets);
     CPPUNIT_TEST(RequestsToEvacuatedDataCentres);
     CPPUNIT_TEST(TooManyRequestsToAColdTarget);
-    CPPUNIT_TEST(MoreRequestsThanATargetTakes);
-    CPPUNIT_TEST(RequestsToATargetThatWantsNothing);
-    CPPUNIT_TEST(RequestsToATargetThatHasSaidThatItLeaves);
+    CPPUNIT_TEST(MoreRequestsThanATargetsLimit);
+    CPPUNIT_TEST(RequestsToATargetThatAskedForNoWork);
+    CPPUNIT_TEST(RequestsToATargetThatAnnouncedItsStop);
     CPPUNIT_TEST(OlderVersions);
-    CPPUNIT_TEST(TooManyRepeats);
+    CPPUNIT_TEST(TooManyRetries);
     CPPUNIT_TEST(EndsAndRecovery);
     CPPUNIT_TEST_SUITE_END();
 
-    void NothingInACleanLog()
+    void FindsNothingInACleanLog()
     {
         CPPUNIT_ASSERT(AuditSoak(CleanLog(), SoakBounds()).empty());
     }
@@ -75,7 +75,7 @@
     void RunTwice()
     {
         SoakLog log = CleanLog();
-        log.Arrivals.push_back(Arrived("q1", Start + 2 * UsPerMs, true));
+        log.Arrivals.push_back(MakeArrival("q1", Start + 2 * UsPerMs, true));
         CheckFinds(log, "ran twice");
         log.Requests[0].Repeatable = true;
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty());
@@ -86,22 +86,22 @@
         for (const int status : {408, 421, 429, 503})
         {
             SoakLog log = CleanLog();
-            log.Requests.push_back(Asked("q2", status, false));
-            log.Arrivals.push_back(Arrived("q2", Start + UsPerMs, false));
+            log.Requests.push_back(MakeRequest("q2", status, false));
+            log.Arrivals.push_back(MakeArrival("q2", Start + UsPerMs, false));
             CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty());
             log.Arrivals.back().Run = true;
             CheckFinds(log, "refused and run");
         }
     }
 
-    // Its caller sends it again, as it was not read.
-    void RunBehindAClosingAnswer()
+    // The caller sends an unread request again, so it must not have run.
+    void RunAfterAClosingAnswer()
     {
         SoakLog log = CleanLog();
-        log.Requests.push_back(Asked("q2", 0, false));
+        log.Requests.push_back(MakeRequest("q2", 0, false));
         log.Requests.back().NotRead = true;
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty());
-        log.Arrivals.push_back(Arrived("q2", Start + UsPerMs, true));
+        log.Arrivals.push_back(MakeArrival("q2", Start + UsPerMs, true));
         CheckFinds(log, "refused and run");
     }
 
@@ -118,10 +118,10 @@
         CheckFinds(log, "not its own answer");
     }
 
-    void UnaskedRuns()
+    void RunsWithoutARequest()
     {
         SoakLog log = CleanLog();
-        log.Arrivals.push_back(Arrived("q9", Start, true));
+        log.Arrivals.push_back(MakeArrival("q9", Start, true));
         CheckFinds(log, "run without being asked");
     }
 
@@ -130,15 +130,15 @@
         SoakLog log = CleanLog();
         log.Requests[0].Status = 0;
         CheckFinds(log, "cut without an answer");
-        log.Troubles = {{0, Start - UsPerSecond, Start + UsPerSecond, true}}; // A planned stop is no excuse.
+        log.Troubles = {{0, Start - UsPerSecond, Start + UsPerSecond, true}}; // A planned stop doesn't excuse it.
         CheckFinds(log, "cut without an answer");
         log.Troubles[0].Planned = false;
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty());
-        log.Troubles[0].Instance = 1; // It happened to another one.
+        log.Troubles[0].Instance = 1; // Another instance was affected.
         CheckFinds(log, "cut without an answer");
     }
 
-    void RequestsToLeavingTargets()
+    void RequestsToDrainingTargets()
     {
         SoakLog log = CleanLog();
         log.Leavings = {{"t1", Start - 3 * UsPerSecond}};
@@ -146,7 +146,7 @@
         log.Leavings[0].AtUs = Start - UsPerSecond;
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty());
         log.Leavings[0].AtUs = Start - 3 * UsPerSecond;
-        log.Troubles = {{-1, Start - 4 * UsPerSecond, Start - 2 * UsPerSecond, false}}; // The store was away.
+        log.Troubles = {{-1, Start - 4 * UsPerSecond, Start - 2 * UsPerSecond, false}}; // The store was unavailable.
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty());
     }
 
@@ -157,9 +157,9 @@
         log.Evacuations = {{"dc", Start - 3 * UsPerSecond, Start + UsPerSecond}};
         CheckFinds(log, "sent to an evacuated data centre");
         log.Troubles = {{0, Start - 4 * UsPerSecond, Start - 3 * UsPerSecond, false}};
-        CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty()); // The instance was not in touch.
+        CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty()); // The instance was cut off.
         log.Troubles.clear();
-        log.Evacuations[0].UntilUs = Start; // Given back before.
+        log.Evacuations[0].UntilUs = Start; // Ended before the request.
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty());
         log.Evacuations = {{"dc", Start - UsPerSecond, Start + UsPerSecond}}; // Not in force yet.
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty());
@@ -167,12 +167,12 @@
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty());
     }
 
-    // A request of its own that reached the target and was not run.
-    static void AddShed(SoakLog* log, TimeUs at)
+    // Adds a request that reached target "t1" and was refused by it.
+    static void AddRefused(SoakLog* log, TimeUs at)
     {
         const std::string id = "shed-" + std::to_string(log->Requests.size());
-        log->Requests.push_back(Asked(id, 503, false));
-        log->Arrivals.push_back(Arrived(id, at, false));
+        log->Requests.push_back(MakeRequest(id, 503, false));
+        log->Arrivals.push_back(MakeArrival(id, at, false));
     }
 
     void TooManyRequestsToAColdTarget()
@@ -181,46 +181,46 @@
         log.Colds = {{"t1", Start - UsPerSecond, Start + 2 * UsPerSecond}};
         for (TimeUs n = 0; n < 10; n++)
         {
-            AddShed(&log, Start + n * 50 * UsPerMs);
+            AddRefused(&log, Start + n * 50 * UsPerMs);
         }
-        CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty()); // Eleven.
-        AddShed(&log, Start + 600 * UsPerMs);
+        CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty()); // Eleven requests, the bound.
+        AddRefused(&log, Start + 600 * UsPerMs);
         CheckFinds(log, "too many requests to a cold target");
-        log.Colds[0].UntilUs = Start + 550 * UsPerMs; // Warm by then.
+        log.Colds[0].UntilUs = Start + 550 * UsPerMs; // Warm before the last request.
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty());
         log.Colds = {{"t2", Start - UsPerSecond, Start + 2 * UsPerSecond}};
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty());
     }
 
-    void MoreRequestsThanATargetTakes()
+    void MoreRequestsThanATargetsLimit()
     {
         SoakLog log = CleanLog();
         log.Limits = {{"t1", 2, Start - 4 * UsPerSecond, Start + 9 * UsPerSecond}};
         for (TimeUs n = 0; n < 17; n++)
         {
-            AddShed(&log, Start + UsPerSecond + n * 50 * UsPerMs);
+            AddRefused(&log, Start + UsPerSecond + n * 50 * UsPerMs);
         }
-        CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty()); // 17, beside the one that was told.
-        AddShed(&log, Start + 3 * UsPerSecond);
+        CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty()); // 17 requests, the bound, besides the one that got the limit.
+        AddRefused(&log, Start + 3 * UsPerSecond);
         CheckFinds(log, "more requests than a target takes");
         log.Troubles = {{0, Start, Start + UsPerMs, false}};
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty());
         log.Troubles.clear();
-        log.Limits[0].FromUs = Start + UsPerSecond; // It binds later.
+        log.Limits[0].FromUs = Start + UsPerSecond; // The limit takes effect later.
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty());
     }
 
-    void RequestsToATargetThatWantsNothing()
+    void RequestsToATargetThatAskedForNoWork()
     {
         SoakLog log = CleanLog();
         log.Rests = {{"t1", 2 * UsPerSecond, Start + 2 * UsPerMs, Start + UsPerSecond}};
-        AddShed(&log, Start + 10 * UsPerMs);
-        AddShed(&log, Start + 700 * UsPerMs);
-        AddShed(&log, Start + 1200 * UsPerMs);
-        CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty()); // Two.
-        AddShed(&log, Start + 1900 * UsPerMs);
+        AddRefused(&log, Start + 10 * UsPerMs);
+        AddRefused(&log, Start + 700 * UsPerMs);
+        AddRefused(&log, Start + 1200 * UsPerMs);
+        CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty()); // Two requests, the bound.
+        AddRefused(&log, Start + 1900 * UsPerMs);
         CheckFinds(log, "sent to a target that wants nothing");
-        log.Rests[0].NextStartUs = Start + 1300 * UsPerMs; // Another start of it.
+        log.Rests[0].NextStartUs = Start + 1300 * UsPerMs; // The target restarted before the last request.
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty());
         log.Rests[0].NextStartUs = Start + 3 * UsPerSecond;
         CheckFinds(log, "sent to a target that wants nothing");
@@ -228,13 +228,13 @@
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty());
     }
 
-    void RequestsToATargetThatHasSaidThatItLeaves()
+    void RequestsToATargetThatAnnouncedItsStop()
     {
         SoakLog log = CleanLog();
         log.SaidLeaving = {{"t1", Start}};
-        AddShed(&log, Start + 2 * UsPerSecond);
+        AddRefused(&log, Start + 2 * UsPerSecond);
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty());
-        AddShed(&log, Start + 3 * UsPerSecond);
+        AddRefused(&log, Start + 3 * UsPerSecond);
         CheckFinds(log, "sent to a target that has said that it leaves");
         log.Troubles = {{0, Start, Start + UsPerSecond, false}};
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty());
@@ -248,21 +248,21 @@
         CheckFinds(log, "handled as an older version says");
         log.Versions[1].AtUs = Start - UsPerSecond;
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty());
-        log.Versions[1].AtUs = Start + UsPerSecond; // It came when all was over.
+        log.Versions[1].AtUs = Start + UsPerSecond; // The version is newer than the request.
         log.Arrivals[0].Service = "other";
         CheckFinds(log, "handled as an older version says");
     }
 
-    void TooManyRepeats()
+    void TooManyRetries()
     {
         SoakLog log = CleanLog();
         log.Requests[0].Repeatable = true;
         for (int n = 0; n < 4; n++)
         {
-            log.Arrivals.push_back(Arrived("q1", Start + n * UsPerMs, false));
+            log.Arrivals.push_back(MakeArrival("q1", Start + n * UsPerMs, false));
         }
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty());
-        log.Arrivals.push_back(Arrived("q1", Start + 9 * UsPerMs, false));
+        log.Arrivals.push_back(MakeArrival("q1", Start + 9 * UsPerMs, false));
         CheckFinds(log, "more repeats than the budget");
     }
 
--- a/tests/table_adapter_test.cpp
+++ b/tests/table_adapter_test.cpp
@@ -1,4 +1,5 @@
-// table_adapter_test.cpp: the project's own interface: a table of rows, own header names, the status page.
+// table_adapter_test.cpp: the table adapter: rows, header names and the status page. Guards against invalid or removed rows that take
+// effect or stay in force, and against retries of requests that may have run.
 
 #include "gateway_rig.h"
 #include "pages.h"
@@ -23,7 +24,7 @@
     }
 };
 
-// Another target of the row; publish the row afterwards.
+// Starts a target and adds it to the row; the caller publishes the row.
 static UsersTarget& AddTarget(TableRig* rig)
 {
     rig->Targets.push_back(std::make_unique<UsersTarget>());
@@ -85,21 +86,21 @@
     CPPUNIT_TEST_SUITE(TableAdapterTest);
     CPPUNIT_TEST(ServesATable);
     CPPUNIT_TEST(ReadsPagesOfRows);
-    CPPUNIT_TEST(ATargetOfWeightZeroGetsNothingMore);
-    CPPUNIT_TEST(ATargetThatWasTakenOutMayComeBack);
-    CPPUNIT_TEST(ATableWithAFaultNeverComesInForce);
-    CPPUNIT_TEST(RowsThatDisagreeAreRefusedTogether);
-    CPPUNIT_TEST(RemovedRowsAreServedNoMore);
-    CPPUNIT_TEST(AnEvacuationIsInForceBesideRowsThatAreNot);
-    CPPUNIT_TEST(GarbageIsRefused);
-    CPPUNIT_TEST(WeightsDecideWhoIsTriedFirst);
-    CPPUNIT_TEST(MethodsDecideWhatIsRepeated);
-    CPPUNIT_TEST(WhatADeeperInstanceDoesNotKnowIsNotTakenAsNotRun);
+    CPPUNIT_TEST(ATargetOfWeightZeroGetsNoRequests);
+    CPPUNIT_TEST(ATargetMayBeRemovedAndAddedAgain);
+    CPPUNIT_TEST(AnInvalidTableNeverTakesEffect);
+    CPPUNIT_TEST(ConflictingRowsAreRefused);
+    CPPUNIT_TEST(RemovedRowsAreNoLongerServed);
+    CPPUNIT_TEST(AnEvacuationTakesEffectBesideInvalidRows);
+    CPPUNIT_TEST(MalformedTablesAreRefused);
+    CPPUNIT_TEST(WeightsDecideWhichTargetIsTriedFirst);
+    CPPUNIT_TEST(MethodsDecideWhatIsRetried);
+    CPPUNIT_TEST(AnUnknownOutcomeBehindAnotherInstanceStaysUnknown);
     CPPUNIT_TEST(ARowsLimitsHold);
-    CPPUNIT_TEST(TargetsAreNotAskedWithoutAHealthPath);
-    CPPUNIT_TEST(BadDeadlinesAreTold);
+    CPPUNIT_TEST(TargetsAreNotProbedWithoutAHealthPath);
+    CPPUNIT_TEST(BadDeadlinesAreRefused);
     CPPUNIT_TEST(RequestsWithoutAnIdGetOne);
-    CPPUNIT_TEST(TheStatusPageTellsWhy);
+    CPPUNIT_TEST(TheStatusPageShowsWhyATargetIsAvoided);
     CPPUNIT_TEST_SUITE_END();
 
     void ServesATable()
@@ -128,7 +129,7 @@
         CPPUNIT_ASSERT_EQUAL(size_t{11}, instance.Requests.Plan->Routes.size());
     }
 
-    void ATargetOfWeightZeroGetsNothingMore()
+    void ATargetOfWeightZeroGetsNoRequests()
     {
         TableRig rig;
         const UsersTarget& leaving = AddTarget(&rig);
@@ -143,14 +144,14 @@
             CPPUNIT_ASSERT_EQUAL(200, Ask(&rig, instance).Status);
         }
         CPPUNIT_ASSERT_EQUAL(before, leaving.Saw.size());
-        rig.Row.Targets[1].Weight = 0; // And not as the last choice either.
+        rig.Row.Targets[1].Weight = 0; // Not even as the last choice.
         Publish(&rig);
         AwaitRevision(&rig, instance);
         CPPUNIT_ASSERT_EQUAL(503, Ask(&rig, instance).Status);
         CPPUNIT_ASSERT_EQUAL(before, leaving.Saw.size());
     }
 
-    void ATargetThatWasTakenOutMayComeBack()
+    void ATargetMayBeRemovedAndAddedAgain()
     {
         TableRig rig;
         const UsersTarget& target = AddTarget(&rig);
@@ -167,10 +168,10 @@
             CPPUNIT_ASSERT_EQUAL(200, Ask(&rig, instance).Status);
         }
         CPPUNIT_ASSERT_EQUAL(size_t{3}, target.Saw.size());
-        CPPUNIT_ASSERT_EQUAL(size_t{1}, instance.Requests.Directory.Targets.size()); // Nothing is left of its former entries.
+        CPPUNIT_ASSERT_EQUAL(size_t{1}, instance.Requests.Directory.Targets.size()); // No earlier entries are left.
     }
 
-    void ATableWithAFaultNeverComesInForce()
+    void AnInvalidTableNeverTakesEffect()
     {
         TableRig rig;
         AddTarget(&rig);
@@ -178,8 +179,8 @@
         const uint64_t good = rig.Store.Revision;
         ServiceRow other = MakeRow("other");
         UsersStorePut(&rig.Store, "loans", R"({"name": "loans", "pathPrefix": "loans", "targets": []})");
-        UsersStorePutRow(&rig.Store, other); // Good by itself, but part of a table that is not.
-        // What has been learnt is read a moment later.
+        UsersStorePutRow(&rig.Store, other); // Valid itself, but part of an invalid table.
+        // Changes are decoded shortly after they were received.
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Store.Following.At == rig.Store.Revision && !instance.Invalid.empty(); }));
         CPPUNIT_ASSERT(Holds(instance, good));
         CPPUNIT_ASSERT_EQUAL(200, Ask(&rig, instance).Status);
@@ -189,7 +190,7 @@
         CPPUNIT_ASSERT(instance.Invalid.empty());
     }
 
-    void RowsThatDisagreeAreRefusedTogether()
+    void ConflictingRowsAreRefused()
     {
         TableRig rig;
         AddTarget(&rig);
@@ -205,7 +206,7 @@
         CPPUNIT_ASSERT_EQUAL(size_t{1}, instance.Requests.Plan->Routes.size());
     }
 
-    void RemovedRowsAreServedNoMore()
+    void RemovedRowsAreNoLongerServed()
     {
         TableRig rig;
         AddTarget(&rig);
@@ -220,15 +221,15 @@
         CPPUNIT_ASSERT(instance.Requests.Directory.Targets.empty());
     }
 
-    void AnEvacuationIsInForceBesideRowsThatAreNot()
+    void AnEvacuationTakesEffectBesideInvalidRows()
     {
         TableRig rig;
-        rig.Store.PageItems = 1; // Its item stands on a page of its own.
+        rig.Store.PageItems = 1; // The evacuation is on a page of its own.
         AddTarget(&rig);
         const std::string data_centre = "dc-a";
         const Gateway& instance = StartInstance(&rig);
         CPPUNIT_ASSERT_EQUAL(200, Ask(&rig, instance).Status);
-        UsersStorePut(&rig.Store, "loans", "{}"); // No row.
+        UsersStorePut(&rig.Store, "loans", "{}"); // Not a valid row.
         UsersStoreEvacuate(&rig.Store, data_centre);
         const auto evacuated = [&]()
         {
@@ -247,14 +248,14 @@
         CPPUNIT_ASSERT_EQUAL(200, Ask(&rig, instance).Status);
     }
 
-    void GarbageIsRefused()
+    void MalformedTablesAreRefused()
     {
         const StoreDialect dialect = TableAdapter().Dialect;
         for (const char* bad : {"", "[]", "{}", R"({"at": 0, "rows": []})", R"({"at": 1, "rows": {}})"})
         {
             CPPUNIT_ASSERT_MESSAGE(bad, !dialect.ReadPage(bad).has_value());
         }
-        // An item that can't be read stands alone: it is told of, and names no row or an invalid one.
+        // An unreadable item doesn't affect others: it is reported, and has no key or an invalid row.
         for (const char* nameless : {R"({"at": 1, "rows": [1]})", R"({"at": 1, "rows": [{"row": {}, "revision": 1}]})"})
         {
             const Result<StorePage> read = dialect.ReadPage(nameless);
@@ -275,7 +276,7 @@
         CPPUNIT_ASSERT(!news.Plan && news.Invalid.size() == 1);
     }
 
-    void WeightsDecideWhoIsTriedFirst()
+    void WeightsDecideWhichTargetIsTriedFirst()
     {
         TargetDirectory directory;
         for (int n = 0; n < 2; n++)
@@ -301,7 +302,7 @@
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0.9, static_cast<double>(heavy_unasked) / instances, 0.03);
     }
 
-    void MethodsDecideWhatIsRepeated()
+    void MethodsDecideWhatIsRetried()
     {
         TableRig rig;
         UsersTarget& first = AddTarget(&rig);
@@ -316,12 +317,12 @@
         CPPUNIT_ASSERT_EQUAL(200, read.Status);
     }
 
-    // A target that is itself behind an instance answers in our own words.
-    void WhatADeeperInstanceDoesNotKnowIsNotTakenAsNotRun()
+    // A target behind another winchlink instance passes on that instance's headers.
+    void AnUnknownOutcomeBehindAnotherInstanceStaysUnknown()
     {
         TableRig rig;
         UsersTarget& target = AddTarget(&rig);
-        target.Names.NotExecuted = "X-Other";                     // It sheds with a 503 of its own,
+        target.Names.NotExecuted = "X-Other";                     // It refuses with a plain 503,
         target.Names.Load = "X-Winchlink-Run: unknown\r\nX-Load"; // and every answer says that the outcome is unknown.
         rig.Row.HealthPath = "";
         const Gateway& instance = StartInstance(&rig);
@@ -366,7 +367,7 @@
         CPPUNIT_ASSERT_EQUAL(200, first->Answer.Status);
     }
 
-    void TargetsAreNotAskedWithoutAHealthPath()
+    void TargetsAreNotProbedWithoutAHealthPath()
     {
         TableRig rig;
         const UsersTarget& target = AddTarget(&rig);
@@ -376,10 +377,10 @@
         {
             CPPUNIT_ASSERT_EQUAL(200, Ask(&rig, instance).Status);
         }
-        CPPUNIT_ASSERT_EQUAL(0, target.HealthAsked); // Measuring costs nothing where the table allows none.
+        CPPUNIT_ASSERT_EQUAL(0, target.HealthAsked); // Without a health path there are no probes.
     }
 
-    void BadDeadlinesAreTold()
+    void BadDeadlinesAreRefused()
     {
         TableRig rig;
         AddTarget(&rig);
@@ -406,7 +407,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("test-2"), target.Saw.at(1).Id);
     }
 
-    void TheStatusPageTellsWhy()
+    void TheStatusPageShowsWhyATargetIsAvoided()
     {
         TableRig rig;
         UsersTarget& target = AddTarget(&rig);
--- a/tests/target_lives_test.cpp
+++ b/tests/target_lives_test.cpp
@@ -1,4 +1,5 @@
-// target_lives_test.cpp: targets that start again under the id that they had: what was believed of the former start ends with it.
+// target_lives_test.cpp: targets that restart under the same id. Guards against state of the previous incarnation (failures, warm-up, load,
+// requests in flight) that is applied to the new one.
 
 #include "clock.h"
 #include "gateway_rig.h"
@@ -8,19 +9,19 @@
 namespace Winchlink
 {
 
-struct LivesSetting
+struct IncarnationRig
 {
     Rig Parts;
     Gateway* Instance = nullptr;
 
-    LivesSetting()
+    IncarnationRig()
     {
         Start(1000);
         RigConfigure(&Parts, {UsersRoute()});
         Instance = &RigInstance(&Parts, 1);
     }
 
-    // A start of the target "t1"; its entry is written at once.
+    // Starts an incarnation of target "t1" and writes its entry to the store.
     UsersTarget& Start(uint64_t life, const std::string& address = FreeAddress())
     {
         Parts.Targets.push_back(std::make_unique<UsersTarget>());
@@ -49,21 +50,21 @@
 class TargetLivesTest : public CPPUNIT_NS::TestFixture
 {
     CPPUNIT_TEST_SUITE(TargetLivesTest);
-    CPPUNIT_TEST(NothingIsBelievedOfTheFormerStart);
-    CPPUNIT_TEST(ItsClockMayBeBehind);
-    CPPUNIT_TEST(OneThatSaidThatItLeavesComesBack);
-    CPPUNIT_TEST(AnAnswerToAQuestionOfBeforeSaysNothing);
-    CPPUNIT_TEST(ARequestOfBeforeIsNotCounted);
-    CPPUNIT_TEST(WhatMayHaveRunInTheFormerStartMayHaveRun);
-    CPPUNIT_TEST(LateNewsOfTheFormerStartAreOlder);
-    CPPUNIT_TEST(StartsWhileTheStoreIsAwayAreFoundAtTheSameAddress);
-    CPPUNIT_TEST(StartsWhileTheStoreIsAwayAreTakenWhenItReturns);
-    CPPUNIT_TEST(InstancesThatKnowDifferentStartsAgreeOnTheLatest);
+    CPPUNIT_TEST(ARestartResetsTheTargetsState);
+    CPPUNIT_TEST(ARestartWithAnEarlierClockIsAccepted);
+    CPPUNIT_TEST(ADrainingTargetReturnsOnlyByARestart);
+    CPPUNIT_TEST(AProbeOfThePreviousIncarnationIsIgnored);
+    CPPUNIT_TEST(ARequestToThePreviousIncarnationIsNotCounted);
+    CPPUNIT_TEST(AnUnsafeRequestIsNotRetriedAtTheNewIncarnation);
+    CPPUNIT_TEST(LateUpdatesOfThePreviousIncarnationAreIgnored);
+    CPPUNIT_TEST(ARestartAtTheSameAddressIsUsedWhileTheStoreIsUnavailable);
+    CPPUNIT_TEST(ARestartAtANewAddressIsUsedWhenTheStoreReturns);
+    CPPUNIT_TEST(InstancesAgreeOnTheLatestIncarnation);
     CPPUNIT_TEST_SUITE_END();
 
-    void NothingIsBelievedOfTheFormerStart()
+    void ARestartResetsTheTargetsState()
     {
-        LivesSetting setting;
+        IncarnationRig setting;
         const uint64_t entry = setting.Known()->Entry;
         for (int n = 0; n < 5; n++)
         {
@@ -81,67 +82,67 @@
         CPPUNIT_ASSERT_EQUAL(200, RigAsk(&setting.Parts, *setting.Instance, RigCall()).Answer.Status);
     }
 
-    void ItsClockMayBeBehind()
+    void ARestartWithAnEarlierClockIsAccepted()
     {
-        LivesSetting setting;
+        IncarnationRig setting;
         UsersTargetStop(&setting.Latest());
         setting.Start(500);
         setting.Await(500);
         CPPUNIT_ASSERT_EQUAL(200, RigAsk(&setting.Parts, *setting.Instance, RigCall()).Answer.Status);
     }
 
-    void OneThatSaidThatItLeavesComesBack()
+    void ADrainingTargetReturnsOnlyByARestart()
     {
-        LivesSetting setting;
+        IncarnationRig setting;
         UsersStoreTarget(&setting.Parts.Store, "t1", "svc", setting.Latest().Address, "dc-a", true, 0, 1000);
         CPPUNIT_ASSERT(RigRun(&setting.Parts, [&]() { return setting.Known() == nullptr; }));
         UsersStoreTarget(&setting.Parts.Store, "t1", "svc", setting.Latest().Address, "dc-a", false, 0, 1000);
         RigIdle(&setting.Parts, 500 * UsPerMs);
-        CPPUNIT_ASSERT(setting.Known() == nullptr); // Nobody comes back from leaving, but by another start.
+        CPPUNIT_ASSERT(setting.Known() == nullptr); // A draining target becomes usable again only by a new incarnation.
         UsersTargetStop(&setting.Latest());
         setting.Start(2000);
         setting.Await(2000);
         CPPUNIT_ASSERT_EQUAL(200, RigAsk(&setting.Parts, *setting.Instance, RigCall()).Answer.Status);
     }
 
-    // The question hangs at the former start; the new one is known before its time is over.
-    void AnAnswerToAQuestionOfBeforeSaysNothing()
+    // The probe of the previous incarnation is unanswered; the new incarnation is known before the probe times out.
+    void AProbeOfThePreviousIncarnationIsIgnored()
     {
-        LivesSetting setting;
+        IncarnationRig setting;
         setting.Instance->Requests.Services["svc"].Asks.LeastUs = UsPerSecond;
         setting.Latest().Mute = true;
         const RigAnswerPtr answer = RigSend(&setting.Parts, *setting.Instance, RigCall());
         CPPUNIT_ASSERT(RigRun(&setting.Parts, [&]() { return setting.Latest().HealthAsked > 0; }));
-        UsersTarget& former = setting.Latest();
+        UsersTarget& previous = setting.Latest();
         setting.Start(2000);
         setting.Await(2000);
-        UsersTargetStop(&former); // Only now does the question fail.
+        UsersTargetStop(&previous); // Makes the probe fail.
         CPPUNIT_ASSERT(RigRun(&setting.Parts, [&]() { return answer->Done; }));
-        CPPUNIT_ASSERT_EQUAL(TimeUs{0}, setting.Known()->CarefulUntilUs); // As after a failure, also where a success came since.
+        CPPUNIT_ASSERT_EQUAL(TimeUs{0}, setting.Known()->CarefulUntilUs); // Set by a failure, and not cleared by a later success.
     }
 
-    void ARequestOfBeforeIsNotCounted()
+    void ARequestToThePreviousIncarnationIsNotCounted()
     {
-        LivesSetting setting;
-        UsersTarget& former = setting.Latest();
-        former.WorkUs = 300 * UsPerMs;
+        IncarnationRig setting;
+        UsersTarget& previous = setting.Latest();
+        previous.WorkUs = 300 * UsPerMs;
         const RigAnswerPtr answer = RigSend(&setting.Parts, *setting.Instance, RigCall());
-        CPPUNIT_ASSERT(RigRun(&setting.Parts, [&]() { return former.Running == 1; }));
+        CPPUNIT_ASSERT(RigRun(&setting.Parts, [&]() { return previous.Running == 1; }));
         setting.Start(2000);
         setting.Await(2000);
         CPPUNIT_ASSERT_EQUAL(0, setting.Known()->InFlight);
         CPPUNIT_ASSERT(RigRun(&setting.Parts, [&]() { return answer->Done; }));
-        CPPUNIT_ASSERT_EQUAL(200, answer->Answer.Status); // A ready answer is delivered, also of a former start.
+        CPPUNIT_ASSERT_EQUAL(200, answer->Answer.Status); // The answer of the previous incarnation is still delivered.
         CPPUNIT_ASSERT_EQUAL(0, setting.Known()->InFlight);
-        CPPUNIT_ASSERT_EQUAL(TimeUs{0}, setting.Known()->ReportUs); // And says nothing of the new one's load.
+        CPPUNIT_ASSERT_EQUAL(TimeUs{0}, setting.Known()->ReportUs); // Its load report doesn't apply to the new incarnation.
     }
 
-    // The new start answers at once that nothing of the kind runs there; "not run" would not be true for that.
-    void WhatMayHaveRunInTheFormerStartMayHaveRun()
+    // An unsafe request was in progress in the previous incarnation: its outcome is unknown, and the new incarnation must not get it.
+    void AnUnsafeRequestIsNotRetriedAtTheNewIncarnation()
     {
-        LivesSetting setting;
-        UsersTarget& former = setting.Latest();
-        former.WorkUs = 300 * UsPerMs;
+        IncarnationRig setting;
+        UsersTarget& previous = setting.Latest();
+        previous.WorkUs = 300 * UsPerMs;
         UsersRoute unsafe;
         unsafe.Safe = false;
         RigConfigure(&setting.Parts, {unsafe});
@@ -149,70 +150,70 @@
         RigCall call;
         call.Method = "POST";
         const RigAnswerPtr answer = RigSend(&setting.Parts, *setting.Instance, call);
-        CPPUNIT_ASSERT(RigRun(&setting.Parts, [&]() { return former.Running == 1; }));
-        const std::string address = former.Address;
-        UsersTargetStop(&former);
-        const UsersTarget& again = setting.Start(2000, address);
+        CPPUNIT_ASSERT(RigRun(&setting.Parts, [&]() { return previous.Running == 1; }));
+        const std::string address = previous.Address;
+        UsersTargetStop(&previous);
+        const UsersTarget& restarted = setting.Start(2000, address);
         CPPUNIT_ASSERT(RigRun(&setting.Parts, [&]() { return answer->Done; }));
         CPPUNIT_ASSERT_EQUAL(502, answer->Answer.Status);
-        CPPUNIT_ASSERT_EQUAL(0, UsersTargetRuns(again, answer->Id));
+        CPPUNIT_ASSERT_EQUAL(0, UsersTargetRuns(restarted, answer->Id));
     }
 
-    // From a source that is behind: its revision says so, whatever the numbers of the starts.
-    void LateNewsOfTheFormerStartAreOlder()
+    // Late updates from a source that is behind are recognised by their revision, not by the incarnation's number.
+    void LateUpdatesOfThePreviousIncarnationAreIgnored()
     {
         TargetDirectory directory;
-        DirectoryTarget former;
-        former.Id = "t1";
-        former.Life = 3000;
-        former.Revision = 5;
-        DirectoryTarget again = former;
-        again.Life = 2000; // Its clock is behind.
-        again.Revision = 8;
-        DirectoryPut(&directory, former, 0);
-        DirectoryPut(&directory, again, 0);
-        former.Revision = 7;
-        DirectoryPut(&directory, former, 0);
+        DirectoryTarget previous;
+        previous.Id = "t1";
+        previous.Life = 3000;
+        previous.Revision = 5;
+        DirectoryTarget restarted = previous;
+        restarted.Life = 2000; // Its clock is behind.
+        restarted.Revision = 8;
+        DirectoryPut(&directory, previous, 0);
+        DirectoryPut(&directory, restarted, 0);
+        previous.Revision = 7;
+        DirectoryPut(&directory, previous, 0);
         DirectoryRemove(&directory, "t1", 7, 0);
         CPPUNIT_ASSERT_EQUAL(uint64_t{2000}, directory.Targets.at("t1").Life);
         CPPUNIT_ASSERT_EQUAL(Presence_Ready, directory.Targets.at("t1").Presence);
     }
 
-    // Nothing tells the instance that it is another start; what was in progress in the former one may have run all the same.
-    void StartsWhileTheStoreIsAwayAreFoundAtTheSameAddress()
+    // The instance can't learn of the new incarnation; the outcome of requests in progress in the previous one is unknown all the same.
+    void ARestartAtTheSameAddressIsUsedWhileTheStoreIsUnavailable()
     {
-        LivesSetting setting;
+        IncarnationRig setting;
         UsersRoute unsafe;
         unsafe.Safe = false;
         RigConfigure(&setting.Parts, {unsafe});
         RigAwait(&setting.Parts, *setting.Instance, 1);
-        UsersTarget& former = setting.Latest();
-        former.WorkUs = UsPerSecond;
+        UsersTarget& previous = setting.Latest();
+        previous.WorkUs = UsPerSecond;
         UsersStoreSetMode(&setting.Parts.Store, StoreMode_Silent);
         RigCall call;
         call.Method = "POST";
         const RigAnswerPtr answer = RigSend(&setting.Parts, *setting.Instance, call);
-        CPPUNIT_ASSERT(RigRun(&setting.Parts, [&]() { return former.Running == 1; }));
-        const std::string address = former.Address;
-        UsersTargetStop(&former);
-        const UsersTarget& again = setting.Start(2000, address);
+        CPPUNIT_ASSERT(RigRun(&setting.Parts, [&]() { return previous.Running == 1; }));
+        const std::string address = previous.Address;
+        UsersTargetStop(&previous);
+        const UsersTarget& restarted = setting.Start(2000, address);
         CPPUNIT_ASSERT(RigRun(&setting.Parts, [&]() { return answer->Done; }));
         CPPUNIT_ASSERT_EQUAL(502, answer->Answer.Status);
         CPPUNIT_ASSERT_EQUAL(uint64_t{1000}, setting.Known()->Life);
-        RigIdle(&setting.Parts, PoolConfig().CarefulUs); // Until unsafe requests are sent there again.
+        RigIdle(&setting.Parts, PoolConfig().CarefulUs); // After this time unsafe requests are sent there again.
         CPPUNIT_ASSERT_EQUAL(200, RigAsk(&setting.Parts, *setting.Instance, call).Answer.Status);
-        CPPUNIT_ASSERT_EQUAL(0, UsersTargetRuns(again, answer->Id));
+        CPPUNIT_ASSERT_EQUAL(0, UsersTargetRuns(restarted, answer->Id));
         UsersStoreSetMode(&setting.Parts.Store, StoreMode_Good);
         setting.Await(2000);
     }
 
-    // At another address: the former one is no choice, and the new one is used as soon as it is known.
-    void StartsWhileTheStoreIsAwayAreTakenWhenItReturns()
+    // At a new address: the previous address fails, and the new one is used as soon as the store reports it.
+    void ARestartAtANewAddressIsUsedWhenTheStoreReturns()
     {
-        LivesSetting setting;
+        IncarnationRig setting;
         UsersStoreSetMode(&setting.Parts.Store, StoreMode_Silent);
         UsersTargetStop(&setting.Latest());
-        const UsersTarget& again = setting.Start(500); // Its clock is behind.
+        const UsersTarget& restarted = setting.Start(500); // Its clock is behind.
         const RigAnswer refused = RigAsk(&setting.Parts, *setting.Instance, RigCall());
         CPPUNIT_ASSERT_EQUAL(503, refused.Answer.Status);
         CPPUNIT_ASSERT_EQUAL(0, RigRuns(setting.Parts, refused.Id));
@@ -220,13 +221,13 @@
         setting.Await(500);
         const RigAnswer served = RigAsk(&setting.Parts, *setting.Instance, RigCall());
         CPPUNIT_ASSERT_EQUAL(200, served.Answer.Status);
-        CPPUNIT_ASSERT_EQUAL(1, UsersTargetRuns(again, served.Id));
+        CPPUNIT_ASSERT_EQUAL(1, UsersTargetRuns(restarted, served.Id));
     }
 
-    // A follower that is cut off keeps to the former start; when it hears the others again it never takes them back to that.
-    void InstancesThatKnowDifferentStartsAgreeOnTheLatest()
+    // A follower that is cut off keeps the previous incarnation; after reconnecting it takes the new one and never reverts the others.
+    void InstancesAgreeOnTheLatestIncarnation()
     {
-        LivesSetting setting;
+        IncarnationRig setting;
         Settings reader_settings = RigSettings(setting.Parts);
         reader_settings.PeerAddress = FreeAddress();
         reader_settings.Peers = {reader_settings.PeerAddress};
@@ -237,7 +238,7 @@
         follower_settings.ReadyAddress = FreeAddress();
         follower_settings.MetricsAddress = FreeAddress();
         follower_settings.PeerAddress = FreeAddress();
-        follower_settings.StoreAddress = FreeAddress(); // Cut off from the store, too.
+        follower_settings.StoreAddress = FreeAddress(); // It can't reach the store either.
         Gateway& follower = RigStartWith(&setting.Parts, follower_settings);
         RigAwait(&setting.Parts, follower, 1);
         const auto life_at = [](const Gateway& gateway)
