--- a/tests/evacuation_test.cpp
+++ b/tests/evacuation_test.cpp
@@ -339,21 +339,21 @@
         first.PeerAddress = FreeAddress();
         first.Peers = {first.PeerAddress};
         first.StoreAddress = FreeAddress(); // No process listens there: this instance never reaches the store.
-        const Gateway& contact = RigStartWith(&rig, first);
+        const Gateway& seed_instance = RigStartWith(&rig, first);
         Settings second = RigSettings(rig);
         second.PeerAddress = FreeAddress();
         second.Peers = first.Peers;
         const Gateway& follower = RigStartWith(&rig, second);
         RigAwait(&rig, follower, 2);
-        RigAwait(&rig, contact, 2);
+        RigAwait(&rig, seed_instance, 2);
         UsersStoreEvacuate(&rig.Store, "dc-a");
         AwaitEvacuated(&rig, follower, "dc-a", true);
-        AwaitEvacuated(&rig, contact, "dc-a", true);
-        AskGood(&rig, contact, 2);
+        AwaitEvacuated(&rig, seed_instance, "dc-a", true);
+        AskGood(&rig, seed_instance, 2);
         AskGood(&rig, follower, 2);
         CPPUNIT_ASSERT(near.Saw.empty());
         UsersStoreGiveBack(&rig.Store, "dc-a");
-        AwaitEvacuated(&rig, contact, "dc-a", false);
+        AwaitEvacuated(&rig, seed_instance, "dc-a", false);
     }
 
     // One evacuation begins and one ends in changes that the store no longer keeps: the full read that follows must show both.
--- a/tests/fanout_load_test.cpp
+++ b/tests/fanout_load_test.cpp
@@ -8,7 +8,7 @@
 namespace Winchlink
 {
 
-static constexpr int ContactCount = 3;
+static constexpr int SeedCount = 3;
 
 struct FanoutInstance
 {
@@ -68,15 +68,15 @@
 static int Join(FanoutFleet* fleet, int instance)
 {
     FanoutInstance& self = fleet->Instances[static_cast<size_t>(instance)];
-    const bool contact = instance < ContactCount;
-    int at = contact ? 0 : std::uniform_int_distribution<int>(0, ContactCount - 1)(fleet->Rng);
+    const bool is_seed = instance < SeedCount;
+    int at = is_seed ? 0 : std::uniform_int_distribution<int>(0, SeedCount - 1)(fleet->Rng);
     for (int calls = 1;; calls++)
     {
         FanoutInstance& holder = fleet->Instances[static_cast<size_t>(at)];
         NewsAsker asker;
         asker.Address = self.Address;
         asker.DataCentre = self.DataCentre;
-        asker.Contact = contact;
+        asker.Contact = is_seed;
         asker.After = 1;
         const NewsAnswer answer = FanoutAsked(&holder.Spread, asker, HolderFor(*fleet, holder, self.DataCentre), fleet->Now, &fleet->Rng);
         if (answer.Verdict != NewsVerdict_SendOn)
@@ -129,7 +129,7 @@
             const FanoutFleet fleet = MakeJoinedFleet(instances, data_centres, &calls);
             const FanoutConfig config;
             // Each seed serves FarMost followers in each other data centre, and the seeds follow one of the seeds.
-            const int allowed = ContactCount * (data_centres - 1) * static_cast<int>(config.FarMost) + ContactCount;
+            const int allowed = SeedCount * (data_centres - 1) * static_cast<int>(config.FarMost) + SeedCount;
             CPPUNIT_ASSERT(CountRemoteFollowers(fleet) <= allowed);
             CPPUNIT_ASSERT(calls <= 5);
         }
--- a/tests/follow_load_test.cpp
+++ b/tests/follow_load_test.cpp
@@ -17,7 +17,7 @@
 {
 
 constexpr size_t FleetSize = 473;
-constexpr size_t ContactCount = 3;
+constexpr size_t SeedCount = 3;
 constexpr TimeUs OneWayUs = 800;                // Between instances.
 constexpr TimeUs StoreUs = 4 * UsPerMs;         // From the store's answer until it arrives.
 constexpr TimeUs MessageUs = UsPerMs;           // Processor time to read a message, at a tenth of a core.
@@ -115,7 +115,7 @@
     return 0;
 }
 
-void At(Model* model, TimeUs when, const std::function<void()>& what)
+void ScheduleAt(Model* model, TimeUs when, const std::function<void()>& what)
 {
     model->Events.push({{std::max(when, model->Now), ++model->LastEvent}, what});
 }
@@ -125,20 +125,20 @@
     return 1000 + static_cast<uint64_t>(now / model.EditUs);
 }
 
-void Step(Model* model, size_t instance, TimeUs pause = 0);
-void OnLost(Model* model, size_t instance, TimeUs tried);
+void StartCall(Model* model, size_t instance, TimeUs pause = 0);
+void OnStoreLost(Model* model, size_t instance, TimeUs tried);
 
 Model::Model(size_t size, uint64_t seed) : Rng(seed)
 {
-    std::vector<std::string> contacts;
-    for (size_t n = 0; n < ContactCount; n++)
+    std::vector<std::string> seeds;
+    for (size_t n = 0; n < SeedCount; n++)
     {
-        contacts.push_back(AddressOf(n));
+        seeds.push_back(AddressOf(n));
     }
     Fleet.resize(size);
     for (size_t n = 0; n < size; n++)
     {
-        FollowSetSources(&Fleet[n].Following, AddressOf(n), StoreAddress, contacts, &Rng);
+        FollowSetSources(&Fleet[n].Following, AddressOf(n), StoreAddress, seeds, &Rng);
     }
 }
 
@@ -166,9 +166,9 @@
     FollowFailed(&self.Following, late, model->Now, &model->Rng);
     if (store)
     {
-        OnLost(model, instance, model->Now);
+        OnStoreLost(model, instance, model->Now);
     }
-    Step(model, instance);
+    StartCall(model, instance);
 }
 
 SourceNews SourceStateOf(const Model& model, const ModelInstance& self)
@@ -186,7 +186,7 @@
     const uint64_t call = wait.Call;
     if (self.Following.At == 0)
     {
-        At(model, model->Now + OneWayUs, [=]() { CallFailed(model, to, call, false); });
+        ScheduleAt(model, model->Now + OneWayUs, [=]() { CallFailed(model, to, call, false); });
         return;
     }
     const TimeUs sent = QueueWork(model, server, model->Now, MessageUs / 4); // Sending costs less than reading.
@@ -194,7 +194,8 @@
     const TimeUs there = (wait.Asker.Everything ? self.LinkUs : sent) + OneWayUs;
     const TimeUs read = wait.Asker.Everything ? EverythingUs : MessageUs;
     const SourceNews news = SourceStateOf(*model, self);
-    At(model, there, [=]() { At(model, QueueWork(model, to, model->Now, read), [=]() { OnSourceAnswer(model, to, call, news); }); });
+    ScheduleAt(model, there,
+               [=]() { ScheduleAt(model, QueueWork(model, to, model->Now, read), [=]() { OnSourceAnswer(model, to, call, news); }); });
 }
 
 void EndWaits(Model* model, size_t server, const std::function<bool(const NewsAsker&)>& ends)
@@ -228,7 +229,7 @@
     EndWaits(model, server, [](const NewsAsker& asker) { return asker.Lead; });
 }
 
-void OnLost(Model* model, size_t instance, TimeUs tried)
+void OnStoreLost(Model* model, size_t instance, TimeUs tried)
 {
     ModelInstance& self = model->Fleet[instance];
     const bool tell = !self.Lost || model->Now >= self.ToldUs + BeatUs;
@@ -264,7 +265,7 @@
     }
     if (verdict == FollowVerdict_Lost)
     {
-        OnLost(model, instance, model->Now - news.TriedUs);
+        OnStoreLost(model, instance, model->Now - news.TriedUs);
     }
     if (verdict == FollowVerdict_Good)
     {
@@ -276,14 +277,14 @@
         }
         AnswerLeads(model, instance);
     }
-    Step(model, instance, changed && from_store ? StoreGatherUs : 0);
+    StartCall(model, instance, changed && from_store ? StoreGatherUs : 0);
 }
 
 //-----------------------------------------------------------------------------
 // Calls
 //-----------------------------------------------------------------------------
 
-void AskStore(Model* model, size_t instance, uint64_t call, const FollowStep& step)
+void CallStore(Model* model, size_t instance, uint64_t call, const FollowStep& step)
 {
     model->StoreCalls++;
     model->CallsFor[step.Reason]++;
@@ -293,12 +294,12 @@
     const TimeUs wait = step.WaitMostUs > 0 ? std::min(step.WaitMostUs, StoreWaitUs) : StoreWaitUs;
     if (model->Silent || model->SilentTo(instance))
     {
-        At(model, model->Now + wait + (StoreMarginUs << step.MarginDoublings), [=]() { CallFailed(model, instance, call, true); });
+        ScheduleAt(model, model->Now + wait + (StoreMarginUs << step.MarginDoublings), [=]() { CallFailed(model, instance, call, true); });
         return;
     }
     if (model->Refuses(instance, model->Now))
     {
-        At(model, model->Now + StoreUs, [=]() { CallFailed(model, instance, call, false); });
+        ScheduleAt(model, model->Now + StoreUs, [=]() { CallFailed(model, instance, call, false); });
         return;
     }
     const TimeUs change = (static_cast<TimeUs>(after) - 1000 + 1) * model->EditUs;
@@ -307,7 +308,7 @@
     {
         if (model->Silent || model->SilentTo(instance))
         {
-            At(model, model->Now + StoreMarginUs, [=]() { CallFailed(model, instance, call, true); });
+            ScheduleAt(model, model->Now + StoreMarginUs, [=]() { CallFailed(model, instance, call, true); });
             return;
         }
         if (model->Refuses(instance, model->Now))
@@ -317,9 +318,9 @@
         }
         const SourceNews news = {StoreRevision(*model, model->Now), 0, false, 0, ""};
         const TimeUs read = QueueWork(model, instance, model->Now + StoreUs, everything ? EverythingUs : MessageUs);
-        At(model, read, [=]() { OnSourceAnswer(model, instance, call, news); });
+        ScheduleAt(model, read, [=]() { OnSourceAnswer(model, instance, call, news); });
     };
-    At(model, answer, answered);
+    ScheduleAt(model, answer, answered);
 }
 
 void Serve(Model* model, size_t server, const ModelWait& wait, TimeUs most)
@@ -347,17 +348,17 @@
             {
                 asker.Call = 0;
                 FollowSentOn(&asker.Following, answer.Elsewhere, &model->Rng);
-                Step(model, wait.From);
+                StartCall(model, wait.From);
             }
         };
-        At(model, QueueWork(model, server, model->Now, MessageUs / 4) + OneWayUs, sent_on);
+        ScheduleAt(model, QueueWork(model, server, model->Now, MessageUs / 4) + OneWayUs, sent_on);
         return;
     }
     self.Waits[wait.Call] = wait;
     if (answer.Verdict == NewsVerdict_Lead && FollowAsked(&self.Following))
     {
         self.Call = 0;
-        Step(model, server);
+        StartCall(model, server);
     }
     const auto over = [=]()
     {
@@ -367,10 +368,10 @@
             SendAnswer(model, server, wait);
         }
     };
-    At(model, model->Now + most, over);
+    ScheduleAt(model, model->Now + most, over);
 }
 
-void AskInstance(Model* model, size_t instance, uint64_t call, const FollowStep& step)
+void CallInstance(Model* model, size_t instance, uint64_t call, const FollowStep& step)
 {
     const Follow& following = model->Fleet[instance].Following;
     ModelWait wait{instance, call, {following.Own, following.At == 0, following.At, step.Lead, step.Lost, "", false}};
@@ -387,13 +388,13 @@
             return;
         }
         const TimeUs told = state == ModelState_Crashed ? OneWayUs : ConnectUs;
-        At(model, model->Now + told, [=]() { CallFailed(model, instance, call, false); });
+        ScheduleAt(model, model->Now + told, [=]() { CallFailed(model, instance, call, false); });
     };
-    At(model, model->Now + 2 * OneWayUs, arrives); // Opening a connection, or one way and processing.
-    At(model, model->Now + most + margin, [=]() { CallFailed(model, instance, call, true); });
+    ScheduleAt(model, model->Now + 2 * OneWayUs, arrives); // Opening a connection, or one way and processing.
+    ScheduleAt(model, model->Now + most + margin, [=]() { CallFailed(model, instance, call, true); });
 }
 
-void Step(Model* model, size_t instance, TimeUs pause)
+void StartCall(Model* model, size_t instance, TimeUs pause)
 {
     ModelInstance& self = model->Fleet[instance];
     const uint64_t call = ++model->LastCall;
@@ -406,9 +407,9 @@
             return;
         }
         const FollowStep step = asker.Following.Next;
-        step.Kind == SourceKind_Store ? AskStore(model, instance, call, step) : AskInstance(model, instance, call, step);
+        step.Kind == SourceKind_Store ? CallStore(model, instance, call, step) : CallInstance(model, instance, call, step);
     };
-    At(model, model->Now + std::max(pause, self.Following.Next.PauseUs), ask);
+    ScheduleAt(model, model->Now + std::max(pause, self.Following.Next.PauseUs), ask);
 }
 
 //-----------------------------------------------------------------------------
@@ -417,38 +418,38 @@
 
 void StartAt(Model* model, size_t instance, TimeUs when)
 {
-    At(model, when,
-       [=]()
-       {
-           ModelInstance fresh;
-           const Follow& old = model->Fleet[instance].Following;
-           FollowSetSources(&fresh.Following, old.Own, old.StoreAddress, old.Named, &model->Rng);
-           fresh.State = ModelState_Up;
-           model->Fleet[instance] = fresh;
-           FollowStart(&model->Fleet[instance].Following, model->Now);
-           Step(model, instance);
-       });
+    ScheduleAt(model, when,
+               [=]()
+               {
+                   ModelInstance fresh;
+                   const Follow& old = model->Fleet[instance].Following;
+                   FollowSetSources(&fresh.Following, old.Own, old.StoreAddress, old.Named, &model->Rng);
+                   fresh.State = ModelState_Up;
+                   model->Fleet[instance] = fresh;
+                   FollowStart(&model->Fleet[instance].Following, model->Now);
+                   StartCall(model, instance);
+               });
 }
 
 // Stops an instance. If its process ends, held calls fail at once; an unresponsive instance leaves them to time out.
 void StopAt(Model* model, size_t instance, ModelState_ state, TimeUs when)
 {
-    At(model, when,
-       [=]()
-       {
-           ModelInstance& self = model->Fleet[instance];
-           const std::map<uint64_t, ModelWait> waits = std::move(self.Waits);
-           self.Waits.clear();
-           self.State = state;
-           for (const auto& entry : waits)
-           {
-               const ModelWait wait = entry.second;
-               if (state == ModelState_Crashed)
+    ScheduleAt(model, when,
+               [=]()
                {
-                   At(model, model->Now + OneWayUs, [=]() { CallFailed(model, wait.From, wait.Call, false); });
-               }
-           }
-       });
+                   ModelInstance& self = model->Fleet[instance];
+                   const std::map<uint64_t, ModelWait> waits = std::move(self.Waits);
+                   self.Waits.clear();
+                   self.State = state;
+                   for (const auto& entry : waits)
+                   {
+                       const ModelWait wait = entry.second;
+                       if (state == ModelState_Crashed)
+                       {
+                           ScheduleAt(model, model->Now + OneWayUs, [=]() { CallFailed(model, wait.From, wait.Call, false); });
+                       }
+                   }
+               });
 }
 
 // Starts the seeds at `from + late` and the others within 0.3 s after `from`.
@@ -457,7 +458,7 @@
     for (size_t n = 0; n < model->Fleet.size(); n++)
     {
         const TimeUs spread = std::uniform_int_distribution<TimeUs>(0, 300 * UsPerMs)(model->Rng);
-        StartAt(model, n, from + (n < ContactCount ? late : spread));
+        StartAt(model, n, from + (n < SeedCount ? late : spread));
     }
 }
 
@@ -575,7 +576,7 @@
         RunUntil(&model, 300 * UsPerMs);
         const TimeUs all = RunUntilAllHaveData(&model, 5 * UsPerSecond);
         CPPUNIT_ASSERT_MESSAGE(fmt::format("{} ms", all / UsPerMs), all > 0 && all <= 800 * UsPerMs);
-        CPPUNIT_ASSERT_EQUAL(uint64_t{ContactCount}, model.CallsFor[StoreReason_Start]);
+        CPPUNIT_ASSERT_EQUAL(uint64_t{SeedCount}, model.CallsFor[StoreReason_Start]);
         CPPUNIT_ASSERT_EQUAL(uint64_t{0}, model.CallsFor[StoreReason_Alone]);
         CheckCalls(model, 15);
     }
@@ -587,23 +588,23 @@
         constexpr size_t needed = 17;
         Model model(60);
         StartAll(&model, 0, 600 * UsPerMs);
-        for (size_t n = ContactCount; n < ContactCount + needed; n++)
+        for (size_t n = SeedCount; n < SeedCount + needed; n++)
         {
             const auto callers_wait = [&model, n]()
             {
                 if (FollowNeeded(&model.Fleet[n].Following))
                 {
                     model.Fleet[n].Call = 0;
-                    Step(&model, n);
+                    StartCall(&model, n);
                 }
             };
-            At(&model, 301 * UsPerMs, callers_wait); // All but the seeds have started; some have already had a call to a seed fail.
+            ScheduleAt(&model, 301 * UsPerMs, callers_wait); // All but the seeds have started; some have already had a call to a seed fail.
         }
         RunUntil(&model, 450 * UsPerMs);
-        for (size_t n = ContactCount; n < model.Fleet.size(); n++)
+        for (size_t n = SeedCount; n < model.Fleet.size(); n++)
         {
             const bool knows = model.Fleet[n].Following.At != 0;
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(fmt::format("instance {}", n), n < ContactCount + needed, knows);
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(fmt::format("instance {}", n), n < SeedCount + needed, knows);
         }
         RunUntil(&model, 1200 * UsPerMs);
         CPPUNIT_ASSERT_EQUAL(size_t{0}, MeasureFleet(model).Without);
@@ -651,7 +652,7 @@
         Settle(&model);
         model.Refuses = [](size_t instance, TimeUs)
         {
-            return instance < ContactCount || instance % 3 == 0;
+            return instance < SeedCount || instance % 3 == 0;
         };
         const TimeUs oldest = MaxAgeUntil(&model, model.Now + 9 * UsPerSecond);
         CheckAge(oldest, 2 * UsPerSecond);
@@ -682,7 +683,7 @@
         Model model;
         model.Refuses = [](size_t instance, TimeUs)
         {
-            return instance < ContactCount || instance % 3 == 0;
+            return instance < SeedCount || instance % 3 == 0;
         };
         StartAll(&model, 0, 0);
         RunUntil(&model, 300 * UsPerMs);
@@ -698,7 +699,7 @@
         {
             Model model;
             Settle(&model);
-            for (size_t n = 0; n < ContactCount; n++)
+            for (size_t n = 0; n < SeedCount; n++)
             {
                 const TimeUs when = model.Now + static_cast<TimeUs>(n) * 3 * UsPerSecond;
                 StopAt(&model, n, state, when);
@@ -717,7 +718,7 @@
         {
             Model model;
             Settle(&model);
-            for (size_t n = 0; n < ContactCount; n++)
+            for (size_t n = 0; n < SeedCount; n++)
             {
                 StopAt(&model, n, state, model.Now);
                 StartAt(&model, n, model.Now + 3 * UsPerSecond);
