--- a/tests/cold_load_test.cpp
+++ b/tests/cold_load_test.cpp
@@ -1,12 +1,10 @@
-// cold_load_test.cpp: a hundred instances and more that meet cold targets, played in virtual time without a network.
+// cold_load_test.cpp: a large fleet of instances and cold targets, simulated in virtual time without a network.
 //
-// The pattern: targets that have just started bear few requests a second, of all instances together, and fall over well above that. Worst
-// is a whole service that comes back cold at once under full load, with targets that fail as soon as they get something (they look idle to
-// everybody), callers that give up (their slot is free again at once) and callers that repeat what was refused.
+// Guards against overloading targets during warm-up: all instances together must keep within the rate limit of each cold target, also when
+// a whole service starts cold under full load, when cold targets fail at once (and so look idle) and when callers cancel their requests.
 //
-// The choice is the library's own (TargetPool). Figures are the users': a service of 37 targets with 2 slots and 125 requests a second of
-// work of 0.12 s, or 161 targets and 153 a second of 0.4 s; cold for 3 s, twice as slow; 2.5 requests a second borne, half as many more and
-// 8 allowed in any second. An instance acts on what a target told up to 5 ms ago: a tenth of a core and a way of 0.9 ms.
+// The targets are chosen by TargetPool. A cold target takes 2.5 requests a second, and at most half as many more plus 8 in any second. It
+// is cold for 3 s and takes twice as long meanwhile. A request arrives 1 to 5 ms after its target was chosen.
 
 #include "pool_model.h"
 
@@ -27,35 +25,35 @@
 {
     size_t Instances = 95;
     int Targets = 37;
-    double RequestsPerSecond = 125; // Of the whole fleet; three times as many while callers repeat.
+    double RequestsPerSecond = 125; // Of the whole fleet; three times as many while targets are cold.
     double WorkSeconds = 0.12;      // At a warm target.
-    double Failing = 0;             // Part of the cold targets that fail at once.
-    double GivenUp = 0;             // Part of the requests whose callers leave after 20 ms.
-    bool AllCold = true;            // Else only the first quarter.
-    bool Limited = true;            // The targets' limit is known; false: the planted fault.
+    double Failing = 0;             // Share of the targets that fail every request at once while cold.
+    double Cancelled = 0;           // Share of the requests that are cancelled after 20 ms.
+    bool AllCold = true;            // False: only the first quarter of the targets.
+    bool Limited = true;            // False: instances don't know the limit of cold targets (planted fault).
 };
 
 struct ColdTarget
 {
     DirectoryTarget Listed;
-    std::multiset<TimeUs> Ending; // When its requests end.
-    std::vector<TimeUs> Arrivals; // While it is cold.
+    std::multiset<TimeUs> Ending; // End times of its requests.
+    std::vector<TimeUs> Arrivals; // Arrival times of the requests it got while cold.
     bool Fails = false;
 };
 
-// A request on its way: it was sent on what was known, and arrives a moment later.
-struct ColdArrival
+// The arrival of a request at its target, or its end.
+struct ColdEvent
 {
     TimeUs At = 0;
     size_t Instance = 0;
     std::string Target;
     uint64_t Entry = 0;
-    bool Over = false; // It ends; else it arrives.
+    bool IsEnd = false; // True: the request ends; false: it arrives.
 };
 
-bool operator<(const ColdArrival& a, const ColdArrival& b)
+bool operator<(const ColdEvent& a, const ColdEvent& b)
 {
-    return a.At > b.At; // The earliest first.
+    return a.At > b.At; // The earliest event is on top of the queue.
 }
 
 struct ColdModel
@@ -66,7 +64,7 @@
     TimeUs WarmUntil = 0;
     std::map<std::string, ColdTarget> Targets;
     std::vector<TargetPool> Pools;
-    std::priority_queue<ColdArrival> Coming;
+    std::priority_queue<ColdEvent> Events;
     int Sent = 0;
     int SentCold = 0;
 };
@@ -101,21 +99,21 @@
     }
 }
 
-// The cheapest target with room of those asked; null if none has.
+// Returns the cheapest probed target with a free slot, or null if there is none.
 PoolTarget* Choose(ColdModel* model, TargetPool* pool, int own)
 {
-    PoolQuestions questions;
-    questions.Now = &model->Now;
-    questions.Tell = [=](const std::string& id)
+    PoolProbes probes;
+    probes.Now = &model->Now;
+    probes.LoadOf = [=](const std::string& id)
     {
         const LoadReport report = LoadOf(model, id);
         PoolLearnShare(pool, report, own);
         return report;
     };
-    return AskInTurn(pool, &questions);
+    return ProbeInTurn(pool, &probes);
 }
 
-int OwnWork(const TargetPool& pool)
+int InFlightOfPool(const TargetPool& pool)
 {
     int own = 0;
     for (const PoolTarget& target : pool.Targets)
@@ -129,17 +127,17 @@
 {
     const auto instance = std::uniform_int_distribution<size_t>(0, model->Plan.Instances - 1)(model->Rng);
     TargetPool* pool = &model->Pools[instance];
-    PoolTarget* target = Choose(model, pool, OwnWork(*pool));
+    PoolTarget* target = Choose(model, pool, InFlightOfPool(*pool));
     if (target == nullptr)
     {
         return;
     }
     PoolSent(pool, target);
     const TimeUs way = std::uniform_int_distribution<TimeUs>(1, 5)(model->Rng) * UsPerMs;
-    model->Coming.push({model->Now + way, instance, target->Id, target->Entry, false});
+    model->Events.push({model->Now + way, instance, target->Id, target->Entry, false});
 }
 
-void Arrive(ColdModel* model, const ColdArrival& arrival)
+void Arrive(ColdModel* model, const ColdEvent& arrival)
 {
     ColdTarget& target = model->Targets[arrival.Target];
     const bool cold = model->Now < target.Listed.WarmUntilUs;
@@ -150,14 +148,14 @@
         model->SentCold++;
     }
     double work = std::exponential_distribution<double>(1 / model->Plan.WorkSeconds)(model->Rng) * (cold ? 2 : 1);
-    work = Chance(model, model->Plan.GivenUp) ? 0.02 : work;
+    work = Chance(model, model->Plan.Cancelled) ? 0.02 : work;
     work = cold && target.Fails ? 0.001 : work;
     const TimeUs end = model->Now + static_cast<TimeUs>(work * UsPerSecond);
     target.Ending.insert(end);
-    model->Coming.push({end, arrival.Instance, arrival.Target, arrival.Entry, true});
+    model->Events.push({end, arrival.Instance, arrival.Target, arrival.Entry, true});
 }
 
-void End(ColdModel* model, const ColdArrival& arrival)
+void End(ColdModel* model, const ColdEvent& arrival)
 {
     PoolTarget* target = PoolFind(&model->Pools[arrival.Instance], arrival.Target);
     if (target != nullptr && target->Entry == arrival.Entry)
@@ -174,12 +172,12 @@
     while (model->Now < end)
     {
         next = next <= model->Now ? model->Now + 1 + static_cast<TimeUs>(pause(model->Rng) * UsPerSecond) : next;
-        if (!model->Coming.empty() && model->Coming.top().At <= next)
+        if (!model->Events.empty() && model->Events.top().At <= next)
         {
-            const ColdArrival arrival = model->Coming.top();
-            model->Coming.pop();
+            const ColdEvent arrival = model->Events.top();
+            model->Events.pop();
             model->Now = std::max(model->Now, arrival.At);
-            arrival.Over ? End(model, arrival) : Arrive(model, arrival);
+            arrival.IsEnd ? End(model, arrival) : Arrive(model, arrival);
             continue;
         }
         model->Now = next;
@@ -187,7 +185,7 @@
     }
 }
 
-// Some seconds of ordinary load; then targets turn cold at once, and three times as many requests come.
+// Plays 5 s of normal load, then makes targets cold at once and plays 3 s of three times that load.
 ColdModel PlayCold(const ColdPlan& plan, uint64_t seed)
 {
     ColdModel model;
@@ -216,8 +214,8 @@
     return model;
 }
 
-// The most that one cold target got in any second.
-int MostInASecond(const ColdModel& model)
+// Returns the largest number of requests that one cold target got within any second.
+int MaxInASecond(const ColdModel& model)
 {
     int most = 0;
     for (const auto& entry : model.Targets)
@@ -236,13 +234,13 @@
     return most;
 }
 
-int MostOfSeeds(const ColdPlan& plan, int seeds)
+int MaxOverSeeds(const ColdPlan& plan, int seeds)
 {
     int most = 0;
     for (int seed = 1; seed <= seeds; seed++)
     {
         const ColdModel model = PlayCold(plan, static_cast<uint64_t>(seed));
-        most = std::max(most, MostInASecond(model));
+        most = std::max(most, MaxInASecond(model));
     }
     return most;
 }
@@ -254,22 +252,22 @@
 class ColdLoadTest : public CPPUNIT_NS::TestFixture
 {
     CPPUNIT_TEST_SUITE(ColdLoadTest);
-    CPPUNIT_TEST(AServiceThatComesBackColdGetsNoMoreThanItBears);
-    CPPUNIT_TEST(FastFailuresAndCallersThatLeaveDrawNoMore);
-    CPPUNIT_TEST(LargeFleetsToo);
+    CPPUNIT_TEST(AColdServiceStaysWithinItsRateLimit);
+    CPPUNIT_TEST(FailuresAndCancelledRequestsStayWithinTheLimit);
+    CPPUNIT_TEST(TheLimitHoldsForOtherFleetSizes);
     CPPUNIT_TEST(WarmTargetsComeFirst);
-    CPPUNIT_TEST(SomeWorkIsDoneByColdTargets);
-    CPPUNIT_TEST(WithoutTheLimitTheyFallOver);
-    CPPUNIT_TEST(AStartTakesLittle);
+    CPPUNIT_TEST(ColdTargetsGetSomeRequests);
+    CPPUNIT_TEST(WithoutTheLimitColdTargetsAreOverloaded);
+    CPPUNIT_TEST(ANewInstanceSkipsColdTargets);
     CPPUNIT_TEST_SUITE_END();
 
     static void CheckBound(const ColdPlan& plan)
     {
-        const int most = MostOfSeeds(plan, Seeds);
+        const int most = MaxOverSeeds(plan, Seeds);
         CPPUNIT_ASSERT_MESSAGE(fmt::format("{} in a second", most), most <= AllowedInASecond);
     }
 
-    void AServiceThatComesBackColdGetsNoMoreThanItBears()
+    void AColdServiceStaysWithinItsRateLimit()
     {
         CheckBound(ColdPlan());
         ColdPlan long_work;
@@ -279,17 +277,17 @@
         CheckBound(long_work);
     }
 
-    void FastFailuresAndCallersThatLeaveDrawNoMore()
+    void FailuresAndCancelledRequestsStayWithinTheLimit()
     {
         ColdPlan plan;
         plan.Failing = 0.3;
-        plan.GivenUp = 0.3;
+        plan.Cancelled = 0.3;
         CheckBound(plan);
         plan.Failing = 1;
         CheckBound(plan);
     }
 
-    void LargeFleetsToo()
+    void TheLimitHoldsForOtherFleetSizes()
     {
         ColdPlan plan;
         plan.Instances = 473;
@@ -300,7 +298,7 @@
         CheckBound(plan);
     }
 
-    // A quarter of the targets comes back cold, as a data centre does, and the others can bear the load.
+    // A quarter of the targets is cold, and the others have the capacity for the whole load.
     void WarmTargetsComeFirst()
     {
         ColdPlan plan;
@@ -310,26 +308,26 @@
         CPPUNIT_ASSERT_MESSAGE(fmt::format("{} of {}", model.SentCold, model.Sent), model.SentCold * 50 <= model.Sent);
     }
 
-    // The limit is no ban: over the three seconds all targets together get a fifth or more of what they bear.
-    void SomeWorkIsDoneByColdTargets()
+    // Cold targets together get at least a fifth of the requests that their limit allows.
+    void ColdTargetsGetSomeRequests()
     {
         const ColdModel model = PlayCold(ColdPlan(), 1);
-        const double borne = ColdPerS * 3 * 37;
-        CPPUNIT_ASSERT_MESSAGE(fmt::format("{} of {}", model.SentCold, borne),
-                               model.SentCold > 0.2 * borne && model.SentCold < 1.5 * borne);
+        const double allowed = ColdPerS * 3 * 37;
+        CPPUNIT_ASSERT_MESSAGE(fmt::format("{} of {}", model.SentCold, allowed),
+                               model.SentCold > 0.2 * allowed && model.SentCold < 1.5 * allowed);
     }
 
-    void WithoutTheLimitTheyFallOver()
+    void WithoutTheLimitColdTargetsAreOverloaded()
     {
         ColdPlan plan;
         plan.Failing = 0.3;
         plan.Limited = false;
-        const int most = MostOfSeeds(plan, 1);
+        const int most = MaxOverSeeds(plan, 1);
         CPPUNIT_ASSERT_MESSAGE(fmt::format("{} in a second", most), most > 2 * AllowedInASecond);
     }
 
-    // An instance that knows nothing of the service's work yet leaves cold targets to the others.
-    void AStartTakesLittle()
+    // An instance that doesn't know its share of the service's load yet sends nothing to cold targets.
+    void ANewInstanceSkipsColdTargets()
     {
         TargetPool pool;
         pool.Config.ColdPerS = ColdPerS;
@@ -339,7 +337,7 @@
         PoolToldCold(pool.Config, &target, 13 * UsPerSecond);
         PoolReport(&target, LoadReport(), 12 * UsPerSecond);
         CPPUNIT_ASSERT(!PoolMayTakeCold(pool, target, 12 * UsPerSecond));
-        CPPUNIT_ASSERT(PoolMayTakeCold(pool, target, 13 * UsPerSecond)); // Warm by now.
+        CPPUNIT_ASSERT(PoolMayTakeCold(pool, target, 13 * UsPerSecond)); // The warm-up is over.
     }
 };
 
--- a/tests/pool_load_test.cpp
+++ b/tests/pool_load_test.cpp
@@ -1,8 +1,8 @@
-// pool_load_test.cpp: many instances that choose among the same targets, played in virtual time without a network.
+// pool_load_test.cpp: many instances that choose among the same targets, simulated in virtual time without a network.
 //
-// The choice is the library's own (TargetPool). The model's instances ask targets one after the other, eight at the most, take the first
-// good one, and refuse a request when none of those has room; a question takes no time. Figures are those of one data centre of the users'
-// largest deployment: 80 instances, 67 targets of 3 slots, 1.3 requests a second and instance that take 0.47 s, so a quarter of the slots.
+// Guards against refusals and surplus probes when many targets are replaced at once. The targets are chosen by TargetPool. An instance
+// probes up to eight targets one after the other, takes the first good one, and refuses the request when none of them has a free slot; a
+// probe takes no time. The load is about a quarter of the slots.
 
 #include "pool_model.h"
 
@@ -18,18 +18,18 @@
 constexpr int InstanceCount = 80;
 constexpr int TargetCount = 67;
 constexpr int SlotCount = 3;
-constexpr double RequestsPerSecond = 1.3; // Of each instance.
+constexpr double RequestsPerSecond = 1.3; // For each instance.
 constexpr double WorkSeconds = 0.47;
 
 struct PoolModel
 {
     Random Rng{20261202};
     TimeUs Now = 0;
-    std::vector<TargetPool> Pools;                       // One each instance.
-    std::map<std::string, DirectoryTarget> Listed;       // What the store says.
-    std::map<std::string, std::multiset<TimeUs>> Ending; // By target: when its requests end.
-    std::map<std::string, int> Served;                   // By target.
-    int Asked = 0;                                       // Questions.
+    std::vector<TargetPool> Pools;                       // One for each instance.
+    std::map<std::string, DirectoryTarget> Listed;       // Targets in the store, by id.
+    std::map<std::string, std::multiset<TimeUs>> Ending; // End times of the requests, by target.
+    std::map<std::string, int> Served;                   // Requests, by target.
+    int ProbesSent = 0;
     int Requests = 0;
     int Refused = 0;
 };
@@ -66,17 +66,17 @@
     return report;
 }
 
-// The target that a request gets; null: none of those asked has room.
+// Returns the target that a request is sent to, or null if none of the probed ones has a free slot.
 PoolTarget* Choose(PoolModel* model, TargetPool* pool)
 {
-    PoolQuestions questions;
-    questions.Now = &model->Now;
-    questions.Tell = [model](const std::string& id)
+    PoolProbes probes;
+    probes.Now = &model->Now;
+    probes.LoadOf = [model](const std::string& id)
     {
         return LoadOf(model, id);
     };
-    PoolTarget* best = AskInTurn(pool, &questions);
-    model->Asked += questions.Asked;
+    PoolTarget* best = ProbeInTurn(pool, &probes);
+    model->ProbesSent += probes.ProbesSent;
     return best;
 }
 
@@ -95,7 +95,7 @@
     model->Ending[target->Id].insert(model->Now + static_cast<TimeUs>(work * UsPerSecond));
     model->Served[target->Id]++;
     PoolSent(pool, target);
-    target->InFlight--; // The model's instances have one request at a time.
+    target->InFlight--; // InFlight isn't modelled.
 }
 
 void Play(PoolModel* model, double seconds)
@@ -114,13 +114,12 @@
 class PoolLoadTest : public CPPUNIT_NS::TestFixture
 {
     CPPUNIT_TEST_SUITE(PoolLoadTest);
-    CPPUNIT_TEST(TargetsThatJoinDrawNoHerd);
+    CPPUNIT_TEST(AddingTargetsKeepsRefusalsAndProbesLow);
     CPPUNIT_TEST_SUITE_END();
 
-    // A quarter of the targets is replaced at once, as on the users' days, and the new ones have warmed up. Every instance would have a
-    // first request for each of them, 13 s long; the old ones, of which most are idle, must be asked meanwhile. The new ones get their
-    // share soon.
-    void TargetsThatJoinDrawNoHerd()
+    // A quarter of the targets is replaced at once by warm ones. Each instance prefers new targets until each had a request; meanwhile it
+    // must still use the old ones, most of which are idle, and each new target gets requests within 2 s.
+    void AddingTargetsKeepsRefusalsAndProbesLow()
     {
         constexpr int joining = 17;
         PoolModel model;
@@ -138,7 +137,7 @@
         }
         FollowListed(&model);
         model.Requests = 0;
-        model.Asked = 0;
+        model.ProbesSent = 0;
         model.Served.clear();
         Play(&model, 2);
         for (int n = 0; n < joining; n++)
@@ -148,7 +147,8 @@
         }
         Play(&model, 10);
         CPPUNIT_ASSERT_MESSAGE(fmt::format("{} of {} refused", model.Refused, model.Requests), model.Refused * 100 <= model.Requests);
-        CPPUNIT_ASSERT_MESSAGE(fmt::format("{} questions for {}", model.Asked, model.Requests), model.Asked <= 3 * model.Requests);
+        CPPUNIT_ASSERT_MESSAGE(fmt::format("{} probes for {} requests", model.ProbesSent, model.Requests),
+                               model.ProbesSent <= 3 * model.Requests);
     }
 };
 
--- a/tests/pool_model.h
+++ b/tests/pool_model.h
@@ -1,4 +1,4 @@
-// pool_model.h: how an instance asks targets one after the other, for load tests that play in virtual time.
+// pool_model.h: a model of how an instance probes targets one after the other, for load tests in virtual time.
 
 #pragma once
 
@@ -9,38 +9,38 @@
 namespace Winchlink
 {
 
-inline constexpr size_t ModelAsksMost = 8; // As ForwardConfig has it.
+inline constexpr size_t ModelProbesMax = 8; // Equal to the limit in ForwardConfig.
 
-struct PoolQuestions
+struct PoolProbes
 {
-    TimeUs* Now = nullptr;                              // Of the model; grows with each question.
-    TimeUs EachUs = 0;                                  // What a question takes.
-    std::function<LoadReport(const std::string&)> Tell; // A target's load now.
-    int Asked = 0;                                      // Counter.
+    TimeUs* Now = nullptr;                                // The model's clock; each probe advances it.
+    TimeUs ProbeUs = 0;                                   // Duration of a probe.
+    std::function<LoadReport(const std::string&)> LoadOf; // Returns the current load of a target.
+    int ProbesSent = 0;
 };
 
-// Asks until a target is good, or enough were asked. Returns the cheapest of those that have room; null if none has.
-inline PoolTarget* AskInTurn(TargetPool* pool, PoolQuestions* questions)
+// Probes targets until one is good or the limit is reached. Returns the cheapest one with a free slot, or null if there is none.
+inline PoolTarget* ProbeInTurn(TargetPool* pool, PoolProbes* probes)
 {
-    std::vector<std::string> asked;
+    std::vector<std::string> probed;
     PoolTarget* best = nullptr;
-    while (asked.size() < ModelAsksMost)
+    while (probed.size() < ModelProbesMax)
     {
-        const TimeUs before = *questions->Now;
-        PoolTarget* next = PoolNext(pool, asked, false, before);
+        const TimeUs before = *probes->Now;
+        PoolTarget* next = PoolNext(pool, probed, false, before);
         if (next == nullptr)
         {
             break;
         }
-        asked.push_back(next->Id);
-        questions->Asked++;
-        *questions->Now += questions->EachUs;
-        const TimeUs now = *questions->Now;
-        PoolReport(next, questions->Tell(next->Id), now);
-        const bool room = PoolHasRoom(*pool, *next) && PoolMayTakeCold(*pool, *next, now);
+        probed.push_back(next->Id);
+        probes->ProbesSent++;
+        *probes->Now += probes->ProbeUs;
+        const TimeUs now = *probes->Now;
+        PoolReport(next, probes->LoadOf(next->Id), now);
+        const bool has_capacity = PoolHasRoom(*pool, *next) && PoolMayTakeCold(*pool, *next, now);
         const double cost = PoolCost(*pool, *next, now);
-        best = room && (best == nullptr || cost < PoolCost(*pool, *best, now)) ? next : best;
-        if (room && cost <= pool->Config.GoodCost)
+        best = has_capacity && (best == nullptr || cost < PoolCost(*pool, *best, now)) ? next : best;
+        if (has_capacity && cost <= pool->Config.GoodCost)
         {
             break;
         }
--- a/tests/two_slot_load_test.cpp
+++ b/tests/two_slot_load_test.cpp
@@ -1,12 +1,10 @@
-// two_slot_load_test.cpp: requests in search of a free slot among targets of two slots, played in virtual time without a network.
+// two_slot_load_test.cpp: requests that look for a free slot among targets of two slots, simulated in virtual time without a network.
 //
-// The pattern: a target with one request in progress is nearly full, and between a third and a half of all are; three tenths of the targets
-// are five times slower at any moment. Good ones are rare, so a request that takes nothing else is refused beside idle slots.
+// Guards against refusing requests while slots are free: a target of two slots with one request in progress is nearly full, and three
+// tenths of the targets are slow at any moment, so a request that takes only cheap targets is often refused.
 //
-// The choice is the library's own (TargetPool). Figures are the users': 95 instances, a service of 37 targets of two slots, 125 requests a
-// second of 0.12 s (spread 0.3) that are to be answered within 0.3 s; a pace of x5 for three tenths of the time, drawn anew every 0.15 s,
-// for the requests that begin then; x1.7 when both slots are in use. A question takes 2 ms, eight are asked at the most, and a request that
-// finds nothing is refused: callers who come back are late at that aim.
+// The targets are chosen by TargetPool. A target that is slow takes five times as long (drawn anew every 0.15 s, for requests that begin
+// then), and 1.7 times as long if both slots are in use. Up to eight targets are probed, 2 ms each; a request that finds none is refused.
 
 #include "pool_model.h"
 
@@ -22,8 +20,8 @@
 constexpr size_t InstanceCount = 95;
 constexpr int TargetCount = 37;
 constexpr double WorkSeconds = 0.12;
-constexpr double AimSeconds = 0.3;
-constexpr TimeUs QuestionUs = 2 * UsPerMs;
+constexpr double ObjectiveSeconds = 0.3;
+constexpr TimeUs ProbeUs = 2 * UsPerMs;
 constexpr TimeUs PaceUs = 150 * UsPerMs;
 constexpr double SlowShare = 0.3;
 constexpr double SlowFactor = 5;
@@ -50,12 +48,12 @@
     Random Rng;
     TimeUs Now = 0;
     std::vector<DirectoryTarget> Listed;
-    std::map<std::string, std::multiset<TimeUs>> Ending; // By target: when its requests end.
+    std::map<std::string, std::multiset<TimeUs>> Ending; // End times of the requests, by target.
     std::vector<TargetPool> Pools;
     TwoSlotResult Result;
 };
 
-// Whether the target is slow now: drawn for each target and step of time, the same for whoever asks.
+// Returns whether the target is slow now. Depends only on the target and the time step, so all instances get the same result.
 bool IsSlow(const std::string& id, TimeUs now)
 {
     Random draw(std::hash<std::string>()(id) ^ static_cast<uint64_t>(now / PaceUs) * 0x9E3779B97F4A7C15ULL);
@@ -70,17 +68,17 @@
     return {static_cast<int>(ending.size()), 0, model->Plan.Slots, pace};
 }
 
-// The target that a request gets; null: none of those asked is taken.
+// Returns the target that a request is sent to, or null if none of the probed ones is acceptable.
 PoolTarget* Choose(TwoSlotModel* model, TargetPool* pool)
 {
-    PoolQuestions questions;
-    questions.Now = &model->Now;
-    questions.EachUs = QuestionUs;
-    questions.Tell = [model](const std::string& id)
+    PoolProbes probes;
+    probes.Now = &model->Now;
+    probes.ProbeUs = ProbeUs;
+    probes.LoadOf = [model](const std::string& id)
     {
         return LoadOf(model, id);
     };
-    PoolTarget* best = AskInTurn(pool, &questions);
+    PoolTarget* best = ProbeInTurn(pool, &probes);
     return best != nullptr && PoolSettles(*pool, *best, model->Now) ? best : nullptr;
 }
 
@@ -94,7 +92,7 @@
     if (target == nullptr)
     {
         model->Result.Refused++;
-        model->Now = arrived; // The next request does not wait for this one's questions.
+        model->Now = arrived; // Requests probe concurrently: the next one doesn't wait for this one's probes.
         return;
     }
     const LoadReport load = LoadOf(model, target->Id);
@@ -103,15 +101,15 @@
     const double work = WorkSeconds * spread * full * load.PacePercent / 100;
     const TimeUs end = model->Now + static_cast<TimeUs>(work * UsPerSecond);
     model->Ending[target->Id].insert(end);
-    model->Result.InTime += static_cast<double>(end - arrived) <= AimSeconds * UsPerSecond ? 1 : 0;
+    model->Result.InTime += static_cast<double>(end - arrived) <= ObjectiveSeconds * UsPerSecond ? 1 : 0;
     PoolSent(pool, target);
-    target->InFlight--; // The model's instances have one request at a time.
+    target->InFlight--; // InFlight isn't modelled.
     model->Now = arrived;
 }
 
 TwoSlotResult PlayTwoSlots(const TwoSlotPlan& plan)
 {
-    constexpr double learnt = FullFactor; // As the pool learns it from answers.
+    constexpr double nearly_full_factor = FullFactor; // The value that a pool learns from answers.
     constexpr TimeUs length = 40 * UsPerSecond;
     TwoSlotModel model;
     model.Plan = plan;
@@ -131,7 +129,7 @@
     for (TargetPool& pool : model.Pools)
     {
         pool.Config.SettleCost = plan.SettleCost;
-        pool.NearlyFullFactor = learnt;
+        pool.NearlyFullFactor = nearly_full_factor;
         PoolFollow(&pool, all, fmt::format("dc{}", instance++ % 4), &model.Rng);
     }
     std::exponential_distribution<double> pause(plan.RequestsPerSecond);
@@ -143,13 +141,13 @@
     return model.Result;
 }
 
-double PartOf(int part, const TwoSlotResult& result)
+double ShareOf(int part, const TwoSlotResult& result)
 {
     return static_cast<double>(part) / result.Requests;
 }
 
-// As it was while nearly full targets of two slots were not settled for.
-TwoSlotPlan Choosy(TwoSlotPlan plan)
+// The same plan with an acceptable cost so low that nearly full targets of two slots are rejected.
+TwoSlotPlan WithStrictCost(TwoSlotPlan plan)
 {
     plan.SettleCost = 1.6;
     return plan;
@@ -157,7 +155,7 @@
 
 std::string TextOf(const TwoSlotResult& result)
 {
-    return fmt::format("refused {:.3f}, in time {:.3f}", PartOf(result.Refused, result), PartOf(result.InTime, result));
+    return fmt::format("refused {:.3f}, in time {:.3f}", ShareOf(result.Refused, result), ShareOf(result.InTime, result));
 }
 
 } // namespace
@@ -165,55 +163,55 @@
 class TwoSlotLoadTest : public CPPUNIT_NS::TestFixture
 {
     CPPUNIT_TEST_SUITE(TwoSlotLoadTest);
-    CPPUNIT_TEST(NobodyIsRefusedBesideIdleSlots);
-    CPPUNIT_TEST(ABurstIsServed);
-    CPPUNIT_TEST(ADataCentreWithTooFewTargetsIsHelpedByOthers);
-    CPPUNIT_TEST(InADeepOverloadNoLessIsServed);
-    CPPUNIT_TEST(SlowTargetsAreNotSettledFor);
+    CPPUNIT_TEST(ServesRequestsWhileSlotsAreFree);
+    CPPUNIT_TEST(ServesABurst);
+    CPPUNIT_TEST(UsesOtherDataCentresWhenTargetsAreFew);
+    CPPUNIT_TEST(AnOverloadServesNoFewerInTime);
+    CPPUNIT_TEST(RejectsSlowTargets);
     CPPUNIT_TEST_SUITE_END();
 
     static void CheckBetter(const TwoSlotPlan& plan, double refused_most, double in_time_least)
     {
         const TwoSlotResult result = PlayTwoSlots(plan);
-        const TwoSlotResult choosy = PlayTwoSlots(Choosy(plan));
-        const std::string text = TextOf(result) + "; choosy: " + TextOf(choosy);
-        CPPUNIT_ASSERT_MESSAGE(text, PartOf(result.Refused, result) <= refused_most);
-        CPPUNIT_ASSERT_MESSAGE(text, PartOf(result.InTime, result) >= in_time_least);
-        CPPUNIT_ASSERT_MESSAGE(text, PartOf(result.InTime, result) > PartOf(choosy.InTime, choosy));
-        CPPUNIT_ASSERT_MESSAGE(text, result.Refused < choosy.Refused);
+        const TwoSlotResult strict = PlayTwoSlots(WithStrictCost(plan));
+        const std::string text = TextOf(result) + "; strict: " + TextOf(strict);
+        CPPUNIT_ASSERT_MESSAGE(text, ShareOf(result.Refused, result) <= refused_most);
+        CPPUNIT_ASSERT_MESSAGE(text, ShareOf(result.InTime, result) >= in_time_least);
+        CPPUNIT_ASSERT_MESSAGE(text, ShareOf(result.InTime, result) > ShareOf(strict.InTime, strict));
+        CPPUNIT_ASSERT_MESSAGE(text, result.Refused < strict.Refused);
     }
 
-    void NobodyIsRefusedBesideIdleSlots()
+    void ServesRequestsWhileSlotsAreFree()
     {
         CheckBetter(TwoSlotPlan(), 0.002, 0.97);
     }
 
-    void ABurstIsServed()
+    void ServesABurst()
     {
         TwoSlotPlan burst;
         burst.RequestsPerSecond = 1.7 * 125;
         CheckBetter(burst, 0.04, 0.88);
     }
 
-    // As where a data centre is evacuated: its callers find none near.
-    void ADataCentreWithTooFewTargetsIsHelpedByOthers()
+    // One of four data centres is evacuated: its instances have no targets nearby.
+    void UsesOtherDataCentresWhenTargetsAreFew()
     {
         TwoSlotPlan evacuated;
         evacuated.Targets = TargetCount * 3 / 4;
         CheckBetter(evacuated, 0.01, 0.95);
     }
 
-    // Twice what the targets can bear at their usual pace: their last slots are worth less, and still no fewer are answered in time.
-    void InADeepOverloadNoLessIsServed()
+    // Twice the capacity of the targets at their usual pace: accepting nearly full targets must not reduce the number answered in time.
+    void AnOverloadServesNoFewerInTime()
     {
         TwoSlotPlan overload;
         overload.RequestsPerSecond = 5 * 125;
         const TwoSlotResult result = PlayTwoSlots(overload);
-        const TwoSlotResult choosy = PlayTwoSlots(Choosy(overload));
-        CPPUNIT_ASSERT_MESSAGE(TextOf(result) + "; choosy: " + TextOf(choosy), result.InTime >= choosy.InTime * 0.98);
+        const TwoSlotResult strict = PlayTwoSlots(WithStrictCost(overload));
+        CPPUNIT_ASSERT_MESSAGE(TextOf(result) + "; strict: " + TextOf(strict), result.InTime >= strict.InTime * 0.98);
     }
 
-    void SlowTargetsAreNotSettledFor()
+    void RejectsSlowTargets()
     {
         TargetPool pool;
         PoolTarget target;
