--- a/tests/ask_time_load_test.cpp
+++ b/tests/ask_time_load_test.cpp
@@ -1,7 +1,6 @@
-// ask_time_load_test.cpp: how long targets may take to tell their load, under loads that a constant time fits badly.
+// ask_time_load_test.cpp: the timeout of load probes, simulated for slow, distant and dead targets.
 //
-// Times are those of the users' deployments: a question takes 6 ms at a target at its usual pace, and 1 to 6 ms on the way; a quarter of
-// the targets is slow at any moment, up to seven times. An instance asks some hundred times in a day.
+// Guards against a timeout that stays too short for slow or distant targets, or grows although targets answer fast.
 
 #include "check.h"
 
@@ -10,38 +9,38 @@
 
 static constexpr double ProbeMs = 6;
 static constexpr double SlowFactor = 7;
-static constexpr int QuestionsOfADay = 400;
+static constexpr int ProbeCount = 400;
 
-struct AskLoad
+struct ProbeLoad
 {
-    AskTime Learnt;
+    AskTime Timeout;
     Random Rng{20261203};
     double SlowShare = 0.25;
-    double DeadShare = 0; // Never answer.
-    double WayMs = 6;     // There and back, at the most.
-    int Late = 0;         // Of those that would have answered.
+    double DeadShare = 0;   // Share of the probes that are never answered.
+    double RoundTripMs = 6; // Largest round-trip time.
+    int Late = 0;           // Probes answered after the timeout.
     int Answered = 0;
 };
 
-static double Draw(AskLoad* load, double least, double most)
+static double Draw(ProbeLoad* load, double min, double max)
 {
-    return std::uniform_real_distribution<double>(least, most)(load->Rng);
+    return std::uniform_real_distribution<double>(min, max)(load->Rng);
 }
 
-static void Ask(AskLoad* load)
+static void Ask(ProbeLoad* load)
 {
     const bool dead = Draw(load, 0, 1) < load->DeadShare;
     const double pace = Draw(load, 0, 1) < load->SlowShare ? SlowFactor : 1;
-    const double took_ms = ProbeMs * pace + Draw(load, 1, load->WayMs);
-    const bool in_time = !dead && took_ms * UsPerMs <= static_cast<double>(AskTimeNow(load->Learnt));
-    in_time ? AskTimeAnswered(&load->Learnt) : AskTimeLate(&load->Learnt);
+    const double took_ms = ProbeMs * pace + Draw(load, 1, load->RoundTripMs);
+    const bool in_time = !dead && took_ms * UsPerMs <= static_cast<double>(AskTimeNow(load->Timeout));
+    in_time ? AskTimeAnswered(&load->Timeout) : AskTimeLate(&load->Timeout);
     load->Answered += in_time ? 1 : 0;
     load->Late += !dead && !in_time ? 1 : 0;
 }
 
-static AskLoad Play(AskLoad load)
+static ProbeLoad Play(ProbeLoad load)
 {
-    for (int n = 0; n < QuestionsOfADay; n++)
+    for (int n = 0; n < ProbeCount; n++)
     {
         Ask(&load);
     }
@@ -54,49 +53,49 @@
     CPPUNIT_TEST(AQuarterOfTheTargetsIsSlow);
     CPPUNIT_TEST(TargetsAreFarAway);
     CPPUNIT_TEST(ATenthNeverAnswers);
-    CPPUNIT_TEST(FastTargetsAreNotWaitedForLonger);
-    CPPUNIT_TEST(ItShrinksOnceAllAnswerInTime);
-    CPPUNIT_TEST(AConstantTimeLosesSlowTargets);
+    CPPUNIT_TEST(KeepsTheMinimumForFastTargets);
+    CPPUNIT_TEST(ShrinksWhenProbesAreAnswered);
+    CPPUNIT_TEST(AConstantTimeoutMissesSlowTargets);
     CPPUNIT_TEST_SUITE_END();
 
     void AQuarterOfTheTargetsIsSlow()
     {
-        const AskLoad load = Play(AskLoad());
-        CPPUNIT_ASSERT(load.Late <= QuestionsOfADay / 50); // One in fifty, while it is learnt.
+        const ProbeLoad load = Play(ProbeLoad());
+        CPPUNIT_ASSERT(load.Late <= ProbeCount / 50); // The first probes are late, until the timeout has grown.
     }
 
     void TargetsAreFarAway()
     {
-        AskLoad far;
-        far.WayMs = 70; // Another region.
-        CPPUNIT_ASSERT(Play(far).Late <= QuestionsOfADay / 20);
+        ProbeLoad far;
+        far.RoundTripMs = 70; // A distant region.
+        CPPUNIT_ASSERT(Play(far).Late <= ProbeCount / 20);
     }
 
     void ATenthNeverAnswers()
     {
-        AskLoad load;
+        ProbeLoad load;
         load.DeadShare = 0.1;
-        const AskLoad played = Play(load);
-        CPPUNIT_ASSERT(AskTimeNow(played.Learnt) <= played.Learnt.MostUs);
-        CPPUNIT_ASSERT(played.Late <= QuestionsOfADay / 50);
+        const ProbeLoad played = Play(load);
+        CPPUNIT_ASSERT(AskTimeNow(played.Timeout) <= played.Timeout.MostUs);
+        CPPUNIT_ASSERT(played.Late <= ProbeCount / 50);
     }
 
-    void FastTargetsAreNotWaitedForLonger()
+    void KeepsTheMinimumForFastTargets()
     {
-        AskLoad fast;
+        ProbeLoad fast;
         fast.SlowShare = 0;
-        const AskLoad played = Play(fast);
+        const ProbeLoad played = Play(fast);
         CPPUNIT_ASSERT_EQUAL(0, played.Late);
-        CPPUNIT_ASSERT_EQUAL(played.Learnt.LeastUs, AskTimeNow(played.Learnt));
+        CPPUNIT_ASSERT_EQUAL(played.Timeout.LeastUs, AskTimeNow(played.Timeout));
     }
 
-    void ItShrinksOnceAllAnswerInTime()
+    void ShrinksWhenProbesAreAnswered()
     {
         AskTime time;
         AskTimeLate(&time);
         const TimeUs grown = AskTimeNow(time);
         CPPUNIT_ASSERT(grown > time.LeastUs);
-        const int needed = static_cast<int>(1 / time.LateShare); // So many for each late one.
+        const int needed = static_cast<int>(1 / time.LateShare); // Answered probes that offset a late one.
         for (int n = 0; n < needed; n++)
         {
             CPPUNIT_ASSERT(AskTimeNow(time) > time.LeastUs || n > needed / 2);
@@ -105,12 +104,12 @@
         CPPUNIT_ASSERT_EQUAL(time.LeastUs, AskTimeNow(time));
     }
 
-    // What the learnt time is for: planted, a time that never grows.
-    void AConstantTimeLosesSlowTargets()
+    // A planted fault, a timeout that never grows, is detected.
+    void AConstantTimeoutMissesSlowTargets()
     {
-        AskLoad load;
-        load.Learnt.Growth = 1;
-        CPPUNIT_ASSERT(Play(load).Late > QuestionsOfADay / 10);
+        ProbeLoad load;
+        load.Timeout.Growth = 1;
+        CPPUNIT_ASSERT(Play(load).Late > ProbeCount / 10);
     }
 };
 
