--- a/tests/pool_test.cpp
+++ b/tests/pool_test.cpp
@@ -1,4 +1,4 @@
-// pool_test.cpp: the target pool's choice, and the repeat budget over a fleet.
+// pool_test.cpp: the order in which the target pool chooses targets, and the retry budget of a whole fleet.
 
 #include "check.h"
 #include "winchlink_internal.h"
@@ -28,7 +28,7 @@
     return pool;
 }
 
-// Fleet-wide counts of one service, as the users count them: any span of the window's length.
+// Times of all requests and retries of one service in the whole fleet. The budget applies to any span of the window's length.
 struct FleetCounts
 {
     std::vector<TimeUs> Requests;
@@ -44,18 +44,18 @@
 {
     CPPUNIT_TEST_SUITE(PoolTest);
     CPPUNIT_TEST(ReadsLoadReports);
-    CPPUNIT_TEST(AsksNearTargetsFirst);
-    CPPUNIT_TEST(AsksFarOnesBeforeNearOnesKnownToBeSlow);
+    CPPUNIT_TEST(ProbesNearTargetsFirst);
+    CPPUNIT_TEST(ProbesFarTargetsBeforeSlowNearOnes);
     CPPUNIT_TEST(AvoidsFailingTargetsForAWhile);
-    CPPUNIT_TEST(VanishedTargetsComeLast);
-    CPPUNIT_TEST(KeepsWhatIsKnownOfTargetsThatStay);
-    CPPUNIT_TEST(KeepsToTheSameTargetsAmongEquals);
-    CPPUNIT_TEST(AsksNewTargetsUntilTheyHaveHadARequest);
-    CPPUNIT_TEST(TheNextTargetIsTheOneThatALookAtAllFinds);
+    CPPUNIT_TEST(MissingTargetsComeLast);
+    CPPUNIT_TEST(KeepsTheStateOfTargetsThatStay);
+    CPPUNIT_TEST(PrefersTheSameTargetAmongEquals);
+    CPPUNIT_TEST(ProbesNewTargetsUntilTheyGetARequest);
+    CPPUNIT_TEST(TheNextTargetMatchesALinearSearch);
     CPPUNIT_TEST(CostsFollowLoadAndPace);
-    CPPUNIT_TEST(AFleetKeepsTheRepeatBudgetInEveryWindow);
-    CPPUNIT_TEST(AFreeRepeatBudgetIsFound);
-    CPPUNIT_TEST(ARepeatThatWasNotUsedIsGivenBackInWhateverStep);
+    CPPUNIT_TEST(AFleetKeepsTheRetryBudgetInEveryWindow);
+    CPPUNIT_TEST(AnUnlimitedRetryBudgetIsDetected);
+    CPPUNIT_TEST(AnUnusedRetryIsRefundedInAnyStep);
     CPPUNIT_TEST_SUITE_END();
 
     void ReadsLoadReports()
@@ -70,7 +70,7 @@
         }
     }
 
-    void AsksNearTargetsFirst()
+    void ProbesNearTargetsFirst()
     {
         TargetPool pool = PoolOf(6);
         std::vector<std::string> asked;
@@ -84,13 +84,13 @@
         CPPUNIT_ASSERT(PoolNext(&pool, asked, false, UsPerSecond) == nullptr);
     }
 
-    void AsksFarOnesBeforeNearOnesKnownToBeSlow()
+    void ProbesFarTargetsBeforeSlowNearOnes()
     {
         TargetPool pool = PoolOf(2);
         const TimeUs now = UsPerSecond;
         PoolReport(PoolFind(&pool, "t0"), {0, 0, 3, 500}, now);
         CPPUNIT_ASSERT_EQUAL(std::string("t1"), PoolNext(&pool, {}, false, now + UsPerMs)->Id);
-        const TimeUs later = now + pool.Config.ReportUs + 1; // The report says nothing any more.
+        const TimeUs later = now + pool.Config.ReportUs + 1; // The report is stale.
         CPPUNIT_ASSERT_EQUAL(std::string("t0"), PoolNext(&pool, {}, false, later)->Id);
     }
 
@@ -103,18 +103,18 @@
         {
             PoolFailed(pool.Config, failing, now);
             CPPUNIT_ASSERT(PoolNext(&pool, {}, false, now)->Id != "t0");
-            CPPUNIT_ASSERT(failing->AvoidUntilUs <= now + 16 * pool.Config.AvoidUs); // It gets another chance before long.
+            CPPUNIT_ASSERT(failing->AvoidUntilUs <= now + 16 * pool.Config.AvoidUs); // The backoff is bounded.
             now = failing->AvoidUntilUs;
         }
         PoolFailed(pool.Config, failing, now);
         PoolGood(failing);
         CPPUNIT_ASSERT_EQUAL(TimeUs{0}, failing->AvoidUntilUs);
-        // A request that may not be repeated still goes elsewhere for a while.
+        // A request that may not be retried avoids the target for longer.
         CPPUNIT_ASSERT(PoolNext(&pool, {}, true, now)->Id != "t0");
         CPPUNIT_ASSERT_EQUAL(0, failing->FailuresInRow);
     }
 
-    void VanishedTargetsComeLast()
+    void MissingTargetsComeLast()
     {
         TargetPool pool = PoolOf(4);
         PoolFind(&pool, "t0")->Doubtful = true;
@@ -127,7 +127,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("t0"), PoolNext(&pool, asked, false, UsPerSecond)->Id);
     }
 
-    void KeepsWhatIsKnownOfTargetsThatStay()
+    void KeepsTheStateOfTargetsThatStay()
     {
         TargetDirectory directory;
         DirectoryTarget target;
@@ -149,7 +149,7 @@
         CPPUNIT_ASSERT(PoolFind(&pool, "t") == nullptr);
     }
 
-    void KeepsToTheSameTargetsAmongEquals()
+    void PrefersTheSameTargetAmongEquals()
     {
         TargetPool pool = PoolOf(20);
         const std::string first = PoolNext(&pool, {}, false, UsPerSecond)->Id;
@@ -159,7 +159,7 @@
         }
     }
 
-    void AsksNewTargetsUntilTheyHaveHadARequest()
+    void ProbesNewTargetsUntilTheyGetARequest()
     {
         TargetPool pool = PoolOf(20);
         pool.InUse = true;
@@ -185,8 +185,8 @@
         CPPUNIT_ASSERT(!PoolFind(&pool, "new")->New);
     }
 
-    // The same question answered the plain way.
-    static std::string FoundByLookingAtAll(const TargetPool& pool, const std::vector<std::string>& passed, bool careful, TimeUs now)
+    // Reference implementation of PoolNext: a linear search over all targets.
+    static std::string FindByLinearSearch(const TargetPool& pool, const std::vector<std::string>& passed, bool careful, TimeUs now)
     {
         const auto has_passed = [&](const PoolTarget& target)
         {
@@ -221,8 +221,8 @@
         return target;
     }
 
-    // What may become of one target.
-    static void Happen(Dice* dice, TargetPool* pool, PoolTarget* target, TimeUs now)
+    // Applies a random event to a target: a report, a request, an end, a failure or a success.
+    static void ApplyRandomEvent(Dice* dice, TargetPool* pool, PoolTarget* target, TimeUs now)
     {
         switch (dice->Between(0, 5))
         {
@@ -244,7 +244,7 @@
         }
     }
 
-    void TheNextTargetIsTheOneThatALookAtAllFinds()
+    void TheNextTargetMatchesALinearSearch()
     {
         CHECK_PROPERTY("whatever became of targets, the next one to ask is the one that a look at all of them finds",
                        []()
@@ -273,7 +273,7 @@
                                std::vector<std::string> passed;
                                for (int n = 0; n < 4; n++)
                                {
-                                   const std::string expected = FoundByLookingAtAll(pool, passed, careful, now);
+                                   const std::string expected = FindByLinearSearch(pool, passed, careful, now);
                                    PoolTarget* next = PoolNext(&pool, passed, careful, now);
                                    RC_ASSERT((next != nullptr ? next->Id : "") == expected);
                                    if (next == nullptr)
@@ -281,7 +281,7 @@
                                        break;
                                    }
                                    passed.push_back(next->Id);
-                                   Happen(&dice, &pool, next, now);
+                                   ApplyRandomEvent(&dice, &pool, next, now);
                                }
                            }
                        });
@@ -313,7 +313,7 @@
                        });
     }
 
-    // Each instance keeps its own budget and sees only its own requests; the users add up the fleet.
+    // Each instance's budget counts only its own requests; the limit applies to the sum over the fleet.
     static void PlayFleet(bool unlimited)
     {
         Dice dice;
@@ -325,7 +325,7 @@
         const TimeUs window = fleet[0].WindowUs;
         for (int n = 0; n < 4000; n++)
         {
-            // Load that rises and falls, and instances that come into use and go out of it.
+            // The load rises and falls, and instances get requests at random.
             now += dice.Between(0, n % 1000 < 500 ? 4 : 40) * UsPerMs;
             RepeatBudget& budget = fleet[static_cast<size_t>(dice.Between(0, static_cast<int64_t>(instances)))];
             RepeatBudgetRequest(&budget, now);
@@ -335,7 +335,7 @@
                 counts.Repeats.push_back(now);
             }
         }
-        const double extra = 64; // The users' smallest allowance, for 13 to 18 instances; it grows with the fleet.
+        const double extra = 64; // Smallest allowance; it grows with the fleet.
         const double allowed_extra = std::max(extra, 2.0 * static_cast<double>(instances));
         for (const TimeUs at : counts.Repeats)
         {
@@ -347,23 +347,23 @@
         }
     }
 
-    void AFleetKeepsTheRepeatBudgetInEveryWindow()
+    void AFleetKeepsTheRetryBudgetInEveryWindow()
     {
         CHECK_COSTLY_PROPERTY(10, "repeats of the fleet in any window are within the users' budget", []() { PlayFleet(false); });
     }
 
-    void AFreeRepeatBudgetIsFound()
+    void AnUnlimitedRetryBudgetIsDetected()
     {
         CHECK_FINDS_FAULT("repeats that ask nobody break the users' budget", []() { PlayFleet(true); });
     }
 
-    // A request whose second attempt finds no target gives its repeat back and looks again. When a step of the budget's window ended in
-    // between, the repeat stayed taken: the only one of the window was lost, and the request was never sent to the target that came free.
-    void ARepeatThatWasNotUsedIsGivenBackInWhateverStep()
+    // A request that takes a retry from the budget but finds no target gives it back. Guards against losing that retry when a step of the
+    // budget's window ended in between.
+    void AnUnusedRetryIsRefundedInAnyStep()
     {
         RepeatBudget budget;
         const TimeUs step = budget.WindowUs / static_cast<TimeUs>(RepeatBudget::Steps);
-        const TimeUs taken = 100 * step - 1; // The last moment of a step.
+        const TimeUs taken = 100 * step - 1; // The last microsecond of a step.
         RepeatBudgetRequest(&budget, taken);
         for (TimeUs later = 0; later < budget.WindowUs; later += step)
         {
