--- a/tests/pool_load_test.cpp
+++ b/tests/pool_load_test.cpp
@@ -29,7 +29,7 @@
     std::map<std::string, DirectoryTarget> Listed;       // Targets in the store, by id.
     std::map<std::string, std::multiset<TimeUs>> Ending; // End times of the requests, by target.
     std::map<std::string, int> Served;                   // Requests, by target.
-    int ProbesSent = 0;
+    int SentProbes = 0;
     int Requests = 0;
     int Refused = 0;
 };
@@ -76,7 +76,7 @@
         return LoadOf(model, id);
     };
     PoolTarget* best = ProbeInTurn(pool, &probes);
-    model->ProbesSent += probes.ProbesSent;
+    model->SentProbes += probes.SentProbes;
     return best;
 }
 
@@ -137,7 +137,7 @@
         }
         FollowListed(&model);
         model.Requests = 0;
-        model.ProbesSent = 0;
+        model.SentProbes = 0;
         model.Served.clear();
         Play(&model, 2);
         for (int n = 0; n < joining; n++)
@@ -147,8 +147,8 @@
         }
         Play(&model, 10);
         CPPUNIT_ASSERT_MESSAGE(fmt::format("{} of {} refused", model.Refused, model.Requests), model.Refused * 100 <= model.Requests);
-        CPPUNIT_ASSERT_MESSAGE(fmt::format("{} probes for {} requests", model.ProbesSent, model.Requests),
-                               model.ProbesSent <= 3 * model.Requests);
+        CPPUNIT_ASSERT_MESSAGE(fmt::format("{} probes for {} requests", model.SentProbes, model.Requests),
+                               model.SentProbes <= 3 * model.Requests);
     }
 };
 
--- a/tests/pool_model.h
+++ b/tests/pool_model.h
@@ -16,7 +16,7 @@
     TimeUs* Now = nullptr;                                // The model's clock; each probe advances it.
     TimeUs ProbeUs = 0;                                   // Duration of a probe.
     std::function<LoadReport(const std::string&)> LoadOf; // Returns the current load of a target.
-    int ProbesSent = 0;
+    int SentProbes = 0;
 };
 
 // Probes targets until one is good or the limit is reached. Returns the cheapest one with a free slot, or null if there is none.
@@ -33,7 +33,7 @@
             break;
         }
         probed.push_back(next->Id);
-        probes->ProbesSent++;
+        probes->SentProbes++;
         *probes->Now += probes->ProbeUs;
         const TimeUs now = *probes->Now;
         PoolReport(next, probes->LoadOf(next->Id), now);
