--- a/tests/gateway_faults_test.cpp
+++ b/tests/gateway_faults_test.cpp
@@ -1,4 +1,4 @@
-// gateway_faults_test.cpp: what an instance does when targets and the store misbehave. Each test causes the failure it is about.
+// gateway_faults_test.cpp: one instance with targets and a store that fail in various ways.
 
 #include "gateway_rig.h"
 
@@ -9,8 +9,8 @@
 namespace Winchlink
 {
 
-// Acts after which a request may have been run, and there is no answer that can be passed on.
-static const std::vector<TargetAct_> LosingActs = {
+// Failures after which a request may have been run and no valid answer is available.
+static const std::vector<TargetAct_> UncertainActs = {
     TargetAct_BareShed, TargetAct_Reset,   TargetAct_Close,   TargetAct_Garbage,       TargetAct_CutShort,
     TargetAct_Unsigned, TargetAct_Encoded, TargetAct_OtherId, TargetAct_NoLengthReset,
 };
@@ -23,35 +23,35 @@
 class GatewayFaultsTest : public CPPUNIT_NS::TestFixture
 {
     CPPUNIT_TEST_SUITE(GatewayFaultsTest);
-    CPPUNIT_TEST(NeverRepeatsWhatMayNotBeRepeated);
-    CPPUNIT_TEST(NeverRepeatsOnAConnectionThatDied);
-    CPPUNIT_TEST(RepeatsWhatMayBeRepeated);
-    CPPUNIT_TEST(ASecondAttemptWaitsForRoom);
-    CPPUNIT_TEST(AFailureIsPassedOnWhereNoOtherTargetHasRoom);
+    CPPUNIT_TEST(DoesNotRetryUnsafeRequests);
+    CPPUNIT_TEST(DoesNotRetryUnsafeRequestsOnAClosedConnection);
+    CPPUNIT_TEST(RetriesSafeRequests);
+    CPPUNIT_TEST(AHedgedRequestWaitsForAFreeSlot);
+    CPPUNIT_TEST(PassesOnAFailureWhenNoOtherTargetHasAFreeSlot);
     CPPUNIT_TEST(SendsToNoMoreTargetsThanAllowed);
-    CPPUNIT_TEST(TriesElsewhereWhatWasNotRun);
-    CPPUNIT_TEST(SaysNotRunOnlyWhereItIsTrue);
-    CPPUNIT_TEST(SurplusAnswersReachNobody);
-    CPPUNIT_TEST(AnswersBeforeTheBodyIsReadMixNothing);
-    CPPUNIT_TEST(ReusedAddressesRunNothing);
-    CPPUNIT_TEST(PassesOverTargetsThatDoNotAnswer);
-    CPPUNIT_TEST(KeepsTheRepeatBudget);
-    CPPUNIT_TEST(ASecondAttemptThatWasNotSentCostsNoRepeat);
-    CPPUNIT_TEST(SendsNothingToTargetsThatLeave);
-    CPPUNIT_TEST(UsesVanishedTargetsLastAndNotForLong);
-    CPPUNIT_TEST(VanishedTargetsAreForgottenAtOnceWhenTheirTimeIsOver);
-    CPPUNIT_TEST(AWholeReadKeepsLeavingTargetsMarked);
-    CPPUNIT_TEST(LapsedEntriesComeBack);
-    CPPUNIT_TEST(NoticesASilentStore);
-    CPPUNIT_TEST(NoticesWhatLeftWhileWaitsHeardNothing);
-    CPPUNIT_TEST(ReadsAgainWhenTheHistoryIsGone);
-    CPPUNIT_TEST(LivesThroughARefusingStore);
-    CPPUNIT_TEST(ServesOnWithoutTheStore);
-    CPPUNIT_TEST(StartsWhenTheStoreComes);
-    CPPUNIT_TEST(ConnectionsThatGoSilentLoseNothing);
-    CPPUNIT_TEST(AfterAFreezeNothingIsSentForCallersThatHaveLeft);
-    CPPUNIT_TEST(CallersOfTheFirstMomentAreServed);
-    CPPUNIT_TEST(CallersOfTheFirstMomentAreRefusedWhereNoPlanComes);
+    CPPUNIT_TEST(RetriesRequestsThatWereNotRun);
+    CPPUNIT_TEST(ReportsNotRunOnlyForRequestsThatWereNotRun);
+    CPPUNIT_TEST(DiscardsSurplusAnswers);
+    CPPUNIT_TEST(AnEarlyAnswerDoesNotAffectTheNextRequest);
+    CPPUNIT_TEST(RunsNothingAtAReusedAddress);
+    CPPUNIT_TEST(SkipsTargetsThatDoNotAnswer);
+    CPPUNIT_TEST(KeepsTheRetryBudget);
+    CPPUNIT_TEST(AnUnsentHedgeIsRefundedToTheRetryBudget);
+    CPPUNIT_TEST(SendsNothingToDrainingTargets);
+    CPPUNIT_TEST(UsesMissingTargetsLastUntilTheyExpire);
+    CPPUNIT_TEST(RemovesMissingTargetsWhenTheyExpire);
+    CPPUNIT_TEST(AFullReadKeepsTargetsDraining);
+    CPPUNIT_TEST(TargetsWithLapsedEntriesRecover);
+    CPPUNIT_TEST(DetectsASilentStore);
+    CPPUNIT_TEST(DetectsRemovalsThatThePollMissed);
+    CPPUNIT_TEST(ReadsEverythingWhenTheStoreHistoryIsGone);
+    CPPUNIT_TEST(ServesWhileTheStoreRefuses);
+    CPPUNIT_TEST(ServesWithoutTheStore);
+    CPPUNIT_TEST(ServesOnceTheStoreIsAvailable);
+    CPPUNIT_TEST(DeadConnectionsFailNoRequests);
+    CPPUNIT_TEST(SendsNothingForCallersThatLeftDuringASuspension);
+    CPPUNIT_TEST(ServesRequestsThatArriveBeforeTheFirstPlan);
+    CPPUNIT_TEST(RefusesRequestsWhenNoPlanArrives);
     CPPUNIT_TEST_SUITE_END();
 
     static UsersRoute Writes()
@@ -72,14 +72,14 @@
         return call;
     }
 
-    void NeverRepeatsWhatMayNotBeRepeated()
+    void DoesNotRetryUnsafeRequests()
     {
         Rig rig;
         RigTarget(&rig, "t1");
         RigTarget(&rig, "t2");
         RigConfigure(&rig, {Writes()});
         const Gateway& instance = RigInstance(&rig, 2);
-        for (const TargetAct_ act : LosingActs)
+        for (const TargetAct_ act : UncertainActs)
         {
             for (const auto& target : rig.Targets)
             {
@@ -93,8 +93,8 @@
         }
     }
 
-    // libcurl would send a request again on its own when a kept connection closes without an answer.
-    void NeverRepeatsOnAConnectionThatDied()
+    // libcurl resends a request by default when a reused connection closes without an answer.
+    void DoesNotRetryUnsafeRequestsOnAClosedConnection()
     {
         Rig rig;
         UsersTarget& target = RigTarget(&rig, "t1");
@@ -107,13 +107,13 @@
             const RigAnswer answer = RigAsk(&rig, instance, Write());
             CPPUNIT_ASSERT_EQUAL(502, answer.Answer.Status);
             CPPUNIT_ASSERT_EQUAL(1, RigRuns(rig, answer.Id));
-            RigIdle(&rig, 210 * UsPerMs); // It is avoided for a while.
+            RigIdle(&rig, 210 * UsPerMs); // Waits until the target is no longer avoided.
         }
     }
 
-    void RepeatsWhatMayBeRepeated()
+    void RetriesSafeRequests()
     {
-        for (const TargetAct_ act : LosingActs)
+        for (const TargetAct_ act : UncertainActs)
         {
             Rig rig;
             RigTarget(&rig, "t1").Script = {act};
@@ -123,7 +123,7 @@
             route.Attempts = 2;
             RigConfigure(&rig, {route});
             const Gateway& instance = RigInstance(&rig, 3);
-            rig.Targets[1]->Running = 1; // So that the first is the cheapest.
+            rig.Targets[1]->Running = 1; // Makes the first target the cheapest.
             rig.Targets[2]->Running = 1;
             const RigAnswer answer = RigAsk(&rig, instance, RigCall());
             const std::string text = fmt::format("act {} status {}", static_cast<int>(act), answer.Answer.Status);
@@ -133,20 +133,19 @@
         }
     }
 
-    // Found in a recorded day: the second target was too slow, and the first one's failure was replaced by our own 502.
-    // The first target never answers, and all slots of the second are in use when that is noticed.
-    void ASecondAttemptWaitsForRoom()
+    // The first target doesn't answer, and all slots of the second are in use when the hedge is due. The hedge must be sent once a slot is
+    // free.
+    void AHedgedRequestWaitsForAFreeSlot()
     {
         Rig rig;
         UsersTarget& hanging = RigTarget(&rig, "t1");
-        UsersTarget& busy = RigTarget(&rig, "t2", "svc", "dc-b"); // Asked only where there is no room nearby.
+        UsersTarget& busy = RigTarget(&rig, "t2", "svc", "dc-b"); // Probed only if no target nearby has a free slot.
         UsersRoute route;
         route.TimeoutS = 3;
         route.AimS = 3;
         RigConfigure(&rig, {route});
         Gateway& instance = RigInstance(&rig, 2);
-        // While it is learnt how long work takes none gets a second attempt: on a busy machine that could use up the budget of the one
-        // that needs it.
+        // No hedges while the usual duration is learnt: on a busy machine they could use up the retry budget.
         const double slow_factor = std::exchange(instance.Requests.Config.SlowFactor, 0);
         for (int n = 0; n < 10; n++)
         {
@@ -157,7 +156,7 @@
         busy.Running = busy.Slots;
         const RigAnswerPtr answer = RigSend(&rig, instance, RigCall());
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return hanging.Running == 1; }));
-        hanging.Ill = true; // It is no choice any more.
+        hanging.Ill = true; // Its health probes fail from now on.
         RigIdle(&rig, 400 * UsPerMs);
         CPPUNIT_ASSERT(!answer->Done);
         busy.Running = 0;
@@ -166,12 +165,12 @@
         CPPUNIT_ASSERT_EQUAL(1, static_cast<int>(busy.Saw.size()));
     }
 
-    void AFailureIsPassedOnWhereNoOtherTargetHasRoom()
+    void PassesOnAFailureWhenNoOtherTargetHasAFreeSlot()
     {
         Rig rig;
         RigTarget(&rig, "t1").Script = {TargetAct_Failed};
         UsersTarget& full = RigTarget(&rig, "t2");
-        full.Running = full.Slots; // Others' work.
+        full.Running = full.Slots; // In use by other instances.
         RigConfigure(&rig, {UsersRoute()});
         const Gateway& instance = RigInstance(&rig, 2);
         const RigAnswer answer = RigAsk(&rig, instance, RigCall());
@@ -201,7 +200,7 @@
         CPPUNIT_ASSERT_EQUAL(2, RigRuns(rig, answer.Id));
     }
 
-    void TriesElsewhereWhatWasNotRun()
+    void RetriesRequestsThatWereNotRun()
     {
         Rig rig;
         RigTarget(&rig, "t1").Script = {TargetAct_Shed};
@@ -217,7 +216,7 @@
         CPPUNIT_ASSERT_EQUAL(1, RigRuns(rig, answer.Id));
     }
 
-    void SaysNotRunOnlyWhereItIsTrue()
+    void ReportsNotRunOnlyForRequestsThatWereNotRun()
     {
         Rig rig;
         RigTarget(&rig, "t1");
@@ -231,18 +230,18 @@
         const RigAnswer shed = RigAsk(&rig, instance, Write());
         CPPUNIT_ASSERT_EQUAL(503, shed.Answer.Status);
         CPPUNIT_ASSERT_EQUAL(std::string("0.050"),
-                             *FindHeader(shed.Answer.Headers, "Retry-After")); // The targets have room: others may serve.
+                             *FindHeader(shed.Answer.Headers, "Retry-After")); // Short, as the targets have free slots.
         CPPUNIT_ASSERT_EQUAL(0, RigRuns(rig, shed.Id));
         for (const auto& target : rig.Targets)
         {
-            UsersTargetStop(target.get()); // Connections are refused from now on.
+            UsersTargetStop(target.get()); // Refuses connections from now on.
         }
         const RigAnswer refused = RigAsk(&rig, instance, Write());
         CPPUNIT_ASSERT_EQUAL(503, refused.Answer.Status);
         CPPUNIT_ASSERT_EQUAL(0, RigRuns(rig, refused.Id));
     }
 
-    void SurplusAnswersReachNobody()
+    void DiscardsSurplusAnswers()
     {
         for (const TargetAct_ act : {TargetAct_Surplus, TargetAct_LateSurplus})
         {
@@ -264,7 +263,7 @@
         }
     }
 
-    void AnswersBeforeTheBodyIsReadMixNothing()
+    void AnEarlyAnswerDoesNotAffectTheNextRequest()
     {
         Rig rig;
         UsersTarget& target = RigTarget(&rig, "t1");
@@ -285,14 +284,14 @@
         }
     }
 
-    void ReusedAddressesRunNothing()
+    void RunsNothingAtAReusedAddress()
     {
         Rig rig;
         UsersTarget& target = RigTarget(&rig, "t1");
         const UsersTarget& other = RigTarget(&rig, "t2");
         RigConfigure(&rig, {Writes()});
         const Gateway& instance = RigInstance(&rig, 2);
-        target.Id = "t9"; // Another target has the address, and the store does not know yet.
+        target.Id = "t9"; // Another target took over the address; the store still has the old entry.
         for (int n = 0; n < 10; n++)
         {
             CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, Write()).Answer.Status);
@@ -304,7 +303,7 @@
         CPPUNIT_ASSERT_EQUAL(size_t{10}, other.Saw.size());
     }
 
-    void PassesOverTargetsThatDoNotAnswer()
+    void SkipsTargetsThatDoNotAnswer()
     {
         Rig rig;
         UsersTarget& dead = RigTarget(&rig, "t1");
@@ -322,7 +321,7 @@
         CPPUNIT_ASSERT_EQUAL(size_t{10}, well.Saw.size());
     }
 
-    void KeepsTheRepeatBudget()
+    void KeepsTheRetryBudget()
     {
         Rig rig;
         RigTarget(&rig, "t1");
@@ -346,8 +345,8 @@
         CPPUNIT_ASSERT(arrivals <= requests * 1.2 + 1);
     }
 
-    // The first attempt is answered while a target is chosen for the second one.
-    void ASecondAttemptThatWasNotSentCostsNoRepeat()
+    // The first attempt is answered while the target of the hedge is still being chosen.
+    void AnUnsentHedgeIsRefundedToTheRetryBudget()
     {
         Rig rig;
         UsersTarget& slow = RigTarget(&rig, "t1");
@@ -357,7 +356,7 @@
         route.AimS = 3;
         RigConfigure(&rig, {route});
         Gateway& instance = RigInstance(&rig, 2);
-        instance.Requests.Config.SlowFactor = 0; // None while it is learnt how long work takes.
+        instance.Requests.Config.SlowFactor = 0; // No hedges while the usual duration is learnt.
         for (int n = 0; n < 10; n++)
         {
             CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status);
@@ -380,7 +379,7 @@
         CPPUNIT_ASSERT_EQUAL(0, repeats);
     }
 
-    void SendsNothingToTargetsThatLeave()
+    void SendsNothingToDrainingTargets()
     {
         Rig rig;
         UsersTarget& leaving = RigTarget(&rig, "t1");
@@ -403,7 +402,7 @@
         CPPUNIT_ASSERT_EQUAL(size_t{5}, other.Saw.size());
     }
 
-    void UsesVanishedTargetsLastAndNotForLong()
+    void UsesMissingTargetsLastUntilTheyExpire()
     {
         Rig rig;
         const UsersTarget& vanished = RigTarget(&rig, "t1");
@@ -424,8 +423,8 @@
         CPPUNIT_ASSERT_EQUAL(size_t{1}, instance.Requests.Services["svc"].Pool.Targets.size());
     }
 
-    // Timers fire in the order of their times, so a busy machine does not change the verdict.
-    void VanishedTargetsAreForgottenAtOnceWhenTheirTimeIsOver()
+    // Timers fire in the order of their times, so the result doesn't depend on the machine's load.
+    void RemovesMissingTargetsWhenTheyExpire()
     {
         Rig rig;
         RigConfigure(&rig, {UsersRoute()});
@@ -445,7 +444,7 @@
         }
     }
 
-    void AWholeReadKeepsLeavingTargetsMarked()
+    void AFullReadKeepsTargetsDraining()
     {
         Rig rig;
         const UsersTarget& target = RigTarget(&rig, "t1");
@@ -456,12 +455,12 @@
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return known.at("t1").Presence == Presence_Leaving; }));
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return !rig.Store.Waits.empty(); }));
         const int pages = rig.Store.PageCalls;
-        UsersStoreCompact(&rig.Store); // Everything is read again.
+        UsersStoreCompact(&rig.Store); // Forces a full read.
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return rig.Store.PageCalls > pages && !rig.Store.Waits.empty(); }));
         CPPUNIT_ASSERT_EQUAL(int(Presence_Leaving), int(known.at("t1").Presence));
     }
 
-    void LapsedEntriesComeBack()
+    void TargetsWithLapsedEntriesRecover()
     {
         Rig rig;
         const UsersTarget& target = RigTarget(&rig, "t1");
@@ -471,10 +470,10 @@
         instance.Store.FromStore.MarginUs = 100 * UsPerMs;
         UsersStoreSetMode(&rig.Store, StoreMode_Refusing);
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.Directory.InTrouble; }));
-        UsersStoreRemove(&rig.Store, "servers/t1"); // It could not renew its entry.
+        UsersStoreRemove(&rig.Store, "servers/t1"); // The entry expired, as the target couldn't renew it.
         UsersStoreSetMode(&rig.Store, StoreMode_Good);
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return !instance.Requests.Directory.InTrouble; }));
-        CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status); // It lives, whatever the store says.
+        CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status); // The target is used although its entry is missing.
         UsersStoreTarget(&rig.Store, "t1", "svc", target.Address, "dc-a");
         const auto back = [&]()
         {
@@ -484,7 +483,7 @@
         CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status);
     }
 
-    void NoticesASilentStore()
+    void DetectsASilentStore()
     {
         Rig rig;
         RigTarget(&rig, "t1");
@@ -500,7 +499,7 @@
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.Plan->Version == 2; }));
     }
 
-    void NoticesWhatLeftWhileWaitsHeardNothing()
+    void DetectsRemovalsThatThePollMissed()
     {
         Rig rig;
         RigTarget(&rig, "t1");
@@ -510,7 +509,7 @@
         UsersStoreSetMode(&rig.Store, StoreMode_Deaf);
         UsersStoreRemove(&rig.Store, "servers/t1");
         RigIdle(&rig, 100 * UsPerMs);
-        CPPUNIT_ASSERT(instance.Requests.Directory.Targets.at("t1").Presence == Presence_Ready); // Nobody could know.
+        CPPUNIT_ASSERT(instance.Requests.Directory.Targets.at("t1").Presence == Presence_Ready); // The poll did not report the removal.
         UsersStoreSetMode(&rig.Store, StoreMode_Good);
         UsersStoreCompact(&rig.Store);
         const auto noticed = [&]()
@@ -521,7 +520,7 @@
         CPPUNIT_ASSERT(RigRun(&rig, noticed));
     }
 
-    void ReadsAgainWhenTheHistoryIsGone()
+    void ReadsEverythingWhenTheStoreHistoryIsGone()
     {
         Rig rig;
         RigTarget(&rig, "t1");
@@ -533,10 +532,10 @@
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return rig.Store.PageCalls > pages; }));
         RigConfigure(&rig, {UsersRoute()});
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.Plan->Version == 2; }));
-        CPPUNIT_ASSERT(!instance.Requests.Directory.InTrouble); // Forgetting history is not trouble.
+        CPPUNIT_ASSERT(!instance.Requests.Directory.InTrouble); // A compacted history doesn't count as a store failure.
     }
 
-    void LivesThroughARefusingStore()
+    void ServesWhileTheStoreRefuses()
     {
         for (const StoreMode_ mode : {StoreMode_Refusing, StoreMode_TooMany, StoreMode_Torn})
         {
@@ -549,14 +548,14 @@
             CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.Directory.InTrouble; }));
             const int calls = rig.Store.Calls;
             RigIdle(&rig, UsPerSecond);
-            CPPUNIT_ASSERT(rig.Store.Calls - calls <= 8); // Each refused call has its price too.
+            CPPUNIT_ASSERT(rig.Store.Calls - calls <= 8); // Refused calls are made with a backoff.
             CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status);
             UsersStoreSetMode(&rig.Store, StoreMode_Good);
             CPPUNIT_ASSERT(RigRun(&rig, [&]() { return !instance.Requests.Directory.InTrouble; }));
         }
     }
 
-    void ServesOnWithoutTheStore()
+    void ServesWithoutTheStore()
     {
         Rig rig;
         RigTarget(&rig, "t1");
@@ -567,7 +566,7 @@
         CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status);
     }
 
-    void StartsWhenTheStoreComes()
+    void ServesOnceTheStoreIsAvailable()
     {
         Rig rig;
         RigTarget(&rig, "t1");
@@ -580,9 +579,9 @@
         CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status);
     }
 
-    // Kept connections to the only target go silent without a reset. The question that comes before a request finds out, and neither the
-    // next question nor the request itself, which may not be repeated, meets another of them.
-    void ConnectionsThatGoSilentLoseNothing()
+    // Idle connections to the only target go dead without a reset. The probe before a request detects this, and neither the next probe nor
+    // the request itself, which may not be retried, uses another dead connection.
+    void DeadConnectionsFailNoRequests()
     {
         Rig rig;
         UsersTarget& target = RigTarget(&rig, "t1");
@@ -594,12 +593,12 @@
         first.reserve(6);
         for (int n = 0; n < 6; n++)
         {
-            first.push_back(RigSend(&rig, instance, Write())); // Side by side: six connections are kept.
+            first.push_back(RigSend(&rig, instance, Write())); // Concurrent, so that six connections are kept.
         }
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return std::all_of(first.begin(), first.end(), [](const auto& a) { return a->Done; }); }));
         CPPUNIT_ASSERT(target.Connections.size() >= 6);
         UsersTargetHush(&target);
-        RigIdle(&rig, 20 * UsPerMs); // What the last answers told is no longer believed without asking.
+        RigIdle(&rig, 20 * UsPerMs); // Makes the load reports stale, so that the next request sends a probe.
         for (int n = 0; n < 4; n++)
         {
             const RigAnswer answer = RigAsk(&rig, instance, Write());
@@ -609,20 +608,19 @@
         CPPUNIT_ASSERT_EQUAL(uint64_t{1}, instance.Targets.SilencesSeen);
     }
 
-    // After a power loss callers are waiting when an instance starts, and its plan comes moments later.
-    // The instance stands still while requests wait for a slot; meanwhile half of the callers leave, and slots come free. What it believes
-    // is too old to be acted on, and the closes are read before any target's answer.
-    void AfterAFreezeNothingIsSentForCallersThatHaveLeft()
+    // The process is suspended while requests wait for a slot; meanwhile half of the callers leave and slots become free. The instance must
+    // not act on the stale load reports before it has read that connections were closed.
+    void SendsNothingForCallersThatLeftDuringASuspension()
     {
         Rig rig;
         UsersTarget& target = RigTarget(&rig, "t1");
         UsersRoute route;
         route.TimeoutS = 5;
-        route.AimS = 5; // Requests wait for a slot for a second.
+        route.AimS = 5; // Requests wait up to 1 s for a slot.
         RigConfigure(&rig, {route});
         const Gateway& instance = RigInstance(&rig, 1);
         CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status);
-        target.Running = target.Slots; // Others' work.
+        target.Running = target.Slots; // In use by other instances.
         std::vector<std::unique_ptr<RawCaller>> callers;
         constexpr size_t requests = 6;
         for (size_t n = 0; n < requests; n++)
@@ -637,7 +635,7 @@
             RawClose(callers[n].get());
         }
         target.Running = 0;
-        std::this_thread::sleep_for(std::chrono::milliseconds(100)); // Nobody runs the loop: every pause is over.
+        std::this_thread::sleep_for(std::chrono::milliseconds(100)); // The loop is not run, so all timers expire.
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.InProgress == 0; }));
         for (size_t n = 0; n < requests; n++)
         {
@@ -645,13 +643,13 @@
         }
     }
 
-    void CallersOfTheFirstMomentAreServed()
+    void ServesRequestsThatArriveBeforeTheFirstPlan()
     {
         Rig rig;
         RigTarget(&rig, "t1");
         RigConfigure(&rig, {UsersRoute(), Writes()});
         Gateway& instance = RigStart(&rig);
-        instance.Requests.Config.FirstPlanUs = RigLimitUs; // However long the plan takes on this machine.
+        instance.Requests.Config.FirstPlanUs = RigLimitUs; // The plan arrives in time, however slow the machine is.
         std::vector<RigAnswerPtr> answers = {RigSend(&rig, instance, RigCall()), RigSend(&rig, instance, Write())};
         RigCall unknown;
         unknown.Target = "/nowhere";
@@ -663,9 +661,9 @@
         CPPUNIT_ASSERT(instance.Requests.Unplanned.empty());
     }
 
-    void CallersOfTheFirstMomentAreRefusedWhereNoPlanComes()
+    void RefusesRequestsWhenNoPlanArrives()
     {
-        Rig rig; // Its store has no configuration.
+        Rig rig; // The store has no configuration.
         RigTarget(&rig, "t1");
         Gateway& instance = RigStart(&rig);
         instance.Requests.Config.FirstPlanUs = 100 * UsPerMs;
@@ -676,7 +674,7 @@
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return gone->Done; }));
         CPPUNIT_ASSERT_EQUAL(0, instance.Requests.InProgress);
         RigConfigure(&rig, {UsersRoute()});
-        RigAwait(&rig, instance, 1); // The plan finds none of them waiting.
+        RigAwait(&rig, instance, 1); // No request is waiting any more when the plan arrives.
         CPPUNIT_ASSERT_EQUAL(0, RigRuns(rig, answer.Id));
     }
 };
