--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -1,4 +1,4 @@
-// gateway_test.cpp: what an instance does with callers, targets that behave, configurations and its own stop.
+// gateway_test.cpp: one instance with callers, working targets, changes of configuration and settings, and its shutdown.
 
 #include "clock.h"
 #include "gateway_rig.h"
@@ -21,26 +21,26 @@
     CPPUNIT_TEST_SUITE(GatewayTest);
     CPPUNIT_TEST(PassesRequestsOnUnchanged);
     CPPUNIT_TEST(PassesAnswersOnUnchanged);
-    CPPUNIT_TEST(TakesBodiesInChunksAndLongOnes);
+    CPPUNIT_TEST(AcceptsChunkedAndLongBodies);
     CPPUNIT_TEST(RefusesBodiesOverTheLimit);
     CPPUNIT_TEST(AnswersPipelinedRequestsInOrder);
-    CPPUNIT_TEST(KnowsNoOtherRoutes);
+    CPPUNIT_TEST(RefusesUnknownRoutes);
     CPPUNIT_TEST(IsNotReadyAndRefusesWithoutAPlan);
-    CPPUNIT_TEST(TellsWhatIsLeftOfTheDeadline);
+    CPPUNIT_TEST(SendsTheRemainingDeadline);
     CPPUNIT_TEST(EndsARequestAtItsTimeout);
     CPPUNIT_TEST(CancelsTheWorkOfCallersThatLeave);
     CPPUNIT_TEST(RefusesAtOnceWhenAllSlotsAreTaken);
     CPPUNIT_TEST(PrefersTheIdleTargetAtItsUsualPace);
-    CPPUNIT_TEST(AsksOneTargetAndAnotherIfThatTakesLong);
-    CPPUNIT_TEST(RequestsShareAQuestion);
-    CPPUNIT_TEST(GoesToAnotherDataCentreForRoom);
-    CPPUNIT_TEST(ATargetThatSaysItIsColdIsLeftAlone);
-    CPPUNIT_TEST(ServesTargetsThatTellNoLoad);
-    CPPUNIT_TEST(FollowsConfigurationsAndNeverGoesBack);
-    CPPUNIT_TEST(TakesFourHundredRoutesMore);
-    CPPUNIT_TEST(KeepsThePlanWhereAConfigurationCantBeRead);
+    CPPUNIT_TEST(ProbesAnotherTargetWhenTheFirstIsSlow);
+    CPPUNIT_TEST(RequestsShareAProbe);
+    CPPUNIT_TEST(UsesAnotherDataCentreWhenTheNearOneIsFull);
+    CPPUNIT_TEST(AvoidsTargetsThatReportAColdStart);
+    CPPUNIT_TEST(UsesTargetsThatReportNoLoad);
+    CPPUNIT_TEST(AppliesNewerConfigurationsOnly);
+    CPPUNIT_TEST(AcceptsFourHundredMoreRoutes);
+    CPPUNIT_TEST(KeepsThePlanIfAConfigurationIsInvalid);
     CPPUNIT_TEST(SplitsByWeight);
-    CPPUNIT_TEST(AFullPartRefusesAndDoesNotMove);
+    CPPUNIT_TEST(RequestsOfAFullPartAreRefused);
     CPPUNIT_TEST(StopsWithoutCuttingRequests);
     CPPUNIT_TEST(ReloadsSettings);
     CPPUNIT_TEST(KeepsSettingsThatCantBeReplaced);
@@ -92,7 +92,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("t1 ran GET /a/x with 0 bytes"), answer.Answer.Body);
     }
 
-    void TakesBodiesInChunksAndLongOnes()
+    void AcceptsChunkedAndLongBodies()
     {
         Rig rig;
         const UsersTarget& target = RigTarget(&rig, "t1");
@@ -163,7 +163,7 @@
         }
     }
 
-    void KnowsNoOtherRoutes()
+    void RefusesUnknownRoutes()
     {
         Rig rig;
         const UsersTarget& target = RigTarget(&rig, "t1");
@@ -201,7 +201,7 @@
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return ReadyStatus(&rig, instance) == 200; }));
     }
 
-    void TellsWhatIsLeftOfTheDeadline()
+    void SendsTheRemainingDeadline()
     {
         Rig rig;
         UsersTarget& target = RigTarget(&rig, "t1");
@@ -217,7 +217,7 @@
         call.DeadlineMs = 60000;
         RigAsk(&rig, instance, call);
         const int long_one = std::stoi(*SawHeader(target, "Winchlink-Deadline-Ms"));
-        CPPUNIT_ASSERT(long_one > 500 && long_one <= 800); // The route's timeout ends it before the caller does.
+        CPPUNIT_ASSERT(long_one > 500 && long_one <= 800); // The route's timeout is shorter than the caller's deadline.
     }
 
     void EndsARequestAtItsTimeout()
@@ -273,7 +273,7 @@
         CPPUNIT_ASSERT(std::stod(*FindHeader(answer.Answer.Headers, "Retry-After")) > 0);
         CPPUNIT_ASSERT_EQUAL(std::to_string(static_cast<int>(Code_TargetsBusy)), *FindHeader(answer.Answer.Headers, HeaderCode));
         CPPUNIT_ASSERT_EQUAL(0, RigRuns(rig, answer.Id));
-        CPPUNIT_ASSERT_EQUAL(size_t{3}, target.Saw.size()); // It was not even sent there.
+        CPPUNIT_ASSERT_EQUAL(size_t{3}, target.Saw.size()); // The request was not sent.
         CPPUNIT_ASSERT(target.Waiting.empty());
     }
 
@@ -293,19 +293,19 @@
         CPPUNIT_ASSERT_EQUAL(size_t{10}, usual.Saw.size());
     }
 
-    void AsksOneTargetAndAnotherIfThatTakesLong()
+    void ProbesAnotherTargetWhenTheFirstIsSlow()
     {
         Rig rig;
         UsersTarget& first = RigTarget(&rig, "t1");
         UsersTarget& second = RigTarget(&rig, "t2");
-        UsersRoute patient; // Choosing may take a fifth of the aim: long enough for any machine.
-        patient.AimS = 60;
-        patient.TimeoutS = 60;
-        RigConfigure(&rig, {patient});
+        UsersRoute route; // Choosing may take a fifth of the latency objective: long enough for a slow machine.
+        route.AimS = 60;
+        route.TimeoutS = 60;
+        RigConfigure(&rig, {route});
         Gateway& instance = RigInstance(&rig, 2);
-        instance.Requests.Services["svc"].Asks.LeastUs = RigLimitUs; // A question is never given up here.
+        instance.Requests.Services["svc"].Asks.LeastUs = RigLimitUs; // Probes never time out here.
         CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status);
-        RigIdle(&rig, 200 * UsPerMs); // What was told is old by now.
+        RigIdle(&rig, 200 * UsPerMs); // Makes the load reports stale.
         const std::string next = PoolNext(&instance.Requests.Services["svc"].Pool, {}, false, NowUs())->Id;
         UsersTarget& asked = next == first.Id ? first : second;
         UsersTarget& other = next == first.Id ? second : first;
@@ -313,10 +313,10 @@
         const RigAnswer answer = RigAsk(&rig, instance, RigCall());
         CPPUNIT_ASSERT_EQUAL(200, answer.Answer.Status);
         CPPUNIT_ASSERT_EQUAL(1, UsersTargetRuns(other, answer.Id));
-        CPPUNIT_ASSERT_EQUAL(size_t{1}, instance.Requests.Services["svc"].Questions.size()); // The first question is still on its way.
+        CPPUNIT_ASSERT_EQUAL(size_t{1}, instance.Requests.Services["svc"].Questions.size()); // The first probe is still in flight.
     }
 
-    void RequestsShareAQuestion()
+    void RequestsShareAProbe()
     {
         Rig rig;
         UsersTarget& target = RigTarget(&rig, "t1");
@@ -324,8 +324,7 @@
         route.AimS = 10;
         RigConfigure(&rig, {route});
         Gateway& instance = RigInstance(&rig, 1);
-        instance.Requests.Services["svc"].Asks.LeastUs =
-            RigLimitUs; // The question stays on its way while all three come, until their timeout.
+        instance.Requests.Services["svc"].Asks.LeastUs = RigLimitUs; // The probe stays in flight until all three requests have timed out.
         target.Mute = true;
         const std::vector<RigAnswerPtr> answers = {RigSend(&rig, instance, RigCall()), RigSend(&rig, instance, RigCall()),
                                                    RigSend(&rig, instance, RigCall())};
@@ -338,7 +337,7 @@
         }
     }
 
-    void GoesToAnotherDataCentreForRoom()
+    void UsesAnotherDataCentreWhenTheNearOneIsFull()
     {
         Rig rig;
         UsersTarget& near = RigTarget(&rig, "t1");
@@ -347,7 +346,7 @@
         const Gateway& instance = RigInstance(&rig, 2);
         RigAsk(&rig, instance, RigCall());
         CPPUNIT_ASSERT_EQUAL(size_t{1}, near.Saw.size());
-        near.Running = near.Slots; // Others' work.
+        near.Running = near.Slots; // In use by other instances.
         RigIdle(&rig, 200 * UsPerMs);
         RigAsk(&rig, instance, RigCall());
         CPPUNIT_ASSERT_EQUAL(size_t{1}, near.Saw.size());
@@ -355,8 +354,8 @@
         near.Running = 0;
     }
 
-    // Before its entry in the store says so.
-    void ATargetThatSaysItIsColdIsLeftAlone()
+    // The target reports its cold start in a header, before its entry in the store does.
+    void AvoidsTargetsThatReportAColdStart()
     {
         Rig rig;
         UsersTarget& near = RigTarget(&rig, "near", "svc", "dc-a");
@@ -374,7 +373,7 @@
         CPPUNIT_ASSERT(known->WarmUntilUs > NowUs() + 30 * UsPerSecond);
     }
 
-    void ServesTargetsThatTellNoLoad()
+    void UsesTargetsThatReportNoLoad()
     {
         Rig rig;
         for (const char* id : {"t1", "t2"})
@@ -388,11 +387,11 @@
             CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status);
         }
         CPPUNIT_ASSERT(rig.Targets[0]->Saw.size() > 2 && rig.Targets[1]->Saw.size() > 2);
-        // Their health path waits for a slot as a request does, so it is not asked for each request.
+        // The health path of such targets needs a slot as a request does, so it is not probed for each request.
         CPPUNIT_ASSERT(rig.Targets[0]->HealthAsked + rig.Targets[1]->HealthAsked < 10);
     }
 
-    void FollowsConfigurationsAndNeverGoesBack()
+    void AppliesNewerConfigurationsOnly()
     {
         Rig rig;
         RigTarget(&rig, "t1");
@@ -415,18 +414,18 @@
         RigCall longest;
         longest.Target = "/a/more/x";
         CPPUNIT_ASSERT(RigAsk(&rig, instance, longest).Answer.Body.rfind("t1 ran", 0) == 0);
-        UsersStoreConfigure(&rig.Store, 1, {route}); // An older one under a newer revision of the store.
+        UsersStoreConfigure(&rig.Store, 1, {route}); // An older version with a newer revision of the store.
         RigIdle(&rig, 500 * UsPerMs);
         CPPUNIT_ASSERT(in_force(2));
         RigConfigure(&rig, {route});
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return in_force(3); }));
-        CPPUNIT_ASSERT(RigAsk(&rig, instance, longest).Answer.Body.rfind("t1 ran", 0) == 0); // The shorter prefix again.
+        CPPUNIT_ASSERT(RigAsk(&rig, instance, longest).Answer.Body.rfind("t1 ran", 0) == 0); // Matches the shorter prefix again.
         RigConfigure(&rig, {added});
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return in_force(4); }));
         CPPUNIT_ASSERT_EQUAL(404, RigAsk(&rig, instance, RigCall()).Answer.Status);
     }
 
-    void TakesFourHundredRoutesMore()
+    void AcceptsFourHundredMoreRoutes()
     {
         Rig rig;
         RigTarget(&rig, "t1");
@@ -447,7 +446,7 @@
         CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, call).Answer.Status);
     }
 
-    void KeepsThePlanWhereAConfigurationCantBeRead()
+    void KeepsThePlanIfAConfigurationIsInvalid()
     {
         Rig rig;
         RigTarget(&rig, "t1");
@@ -479,12 +478,12 @@
         CPPUNIT_ASSERT_EQUAL(size_t{100}, most.Saw.size() + few.Saw.size());
     }
 
-    void AFullPartRefusesAndDoesNotMove()
+    void RequestsOfAFullPartAreRefused()
     {
         Rig rig;
         RigTarget(&rig, "t1");
         UsersTarget& full = RigTarget(&rig, "t2", "other");
-        full.Running = full.Slots; // Others' work.
+        full.Running = full.Slots; // In use by other instances.
         UsersRoute route;
         route.Parts = {{"svc", 50}, {"other", 50}};
         RigConfigure(&rig, {route});
@@ -512,7 +511,7 @@
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return target.Running == 1; }));
         GatewayStop(&instance);
         CPPUNIT_ASSERT_EQUAL(503, ReadyStatus(&rig, instance));
-        const RigAnswer later = RigAsk(&rig, instance, RigCall()); // The balancer has not noticed yet.
+        const RigAnswer later = RigAsk(&rig, instance, RigCall()); // The balancer in front hasn't removed the instance yet.
         CPPUNIT_ASSERT_EQUAL(200, later.Answer.Status);
         CPPUNIT_ASSERT_EQUAL(std::string("close"), *FindHeader(later.Answer.Headers, "Connection"));
         CPPUNIT_ASSERT(RigRun(&rig, [&]() { return held->Done; }));
@@ -536,7 +535,7 @@
         Gateway& instance = RigInstance(&rig, 0);
         instance.SettingsFile = fmt::format("/tmp/winchlink-settings-{}.json", getpid());
         WriteSettings(instance.SettingsFile, instance.Config, R"(,"graceS":2.5,"repeatShare":0.05)");
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.DataCentre == "dc-b"; })); // Without any signal.
+        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.DataCentre == "dc-b"; })); // The file is reloaded without a signal.
         CPPUNIT_ASSERT_EQUAL(TimeUs{2500000}, instance.Config.GraceUs);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0.05, instance.Requests.Config.RepeatShare, 1e-9);
         unlink(instance.SettingsFile.c_str());
