--- a/tests/gateway_rig.h
+++ b/tests/gateway_rig.h
@@ -1,6 +1,6 @@
 // gateway_rig.h: instances, a store, targets and callers in one event loop, for tests without processes and threads.
 //
-// Waiting is always for something to happen, with a generous limit that is no verdict on speed.
+// Functions that wait do so for an event, with a limit long enough for any machine.
 
 #pragma once
 
@@ -12,16 +12,16 @@
 namespace Winchlink
 {
 
-inline constexpr TimeUs RigLimitUs = 20 * UsPerSecond; // Nothing in a test takes so long unless it hangs.
+inline constexpr TimeUs RigLimitUs = 20 * UsPerSecond; // Limit of a wait; a test that reaches it hangs.
 
-// A caller on a bare socket, for what an HTTP library would not send.
+// A caller on a plain socket, for bytes that an HTTP library wouldn't send.
 struct RawCaller
 {
     EventLoop* Loop = nullptr;
     int Socket = -1;
     Watch Readable;
-    std::string Read;   // All that came.
-    bool Ended = false; // The other side closed.
+    std::string Read;   // All bytes received.
+    bool Ended = false; // The instance closed the connection.
 
     RawCaller(EventLoop* loop, const std::string& address);
     ~RawCaller();
@@ -40,40 +40,41 @@
     std::vector<std::unique_ptr<Gateway>> Instances;
     Client Callers;
     int LastId = 0;
-    uint64_t Version = 0; // Of the latest configuration.
+    uint64_t Version = 0; // Version of the latest configuration.
 
     Rig();
 };
 
-// A target of the service in the data centre "dc-a", with its entry in the store.
+// Starts a target and adds its entry to the store.
 UsersTarget& RigTarget(Rig* rig, const std::string& id, const std::string& service = "svc", const std::string& zone = "dc-a");
 
-// Publishes the next version with these routes.
+// Publishes the next version of the configuration with these routes.
 void RigConfigure(Rig* rig, const std::vector<UsersRoute>& routes);
 
-// The same with customers.
+// Same as RigConfigure(), with customers.
 void RigConfigureFor(Rig* rig, const std::vector<UsersRoute>& routes, const std::vector<UsersCustomer>& customers);
 
-// An instance in the data centre "dc-a".
+// Starts an instance in the data centre "dc-a".
 Gateway& RigStart(Rig* rig);
 
-// The same; waits until it holds the latest configuration and `targets` targets.
+// Same as RigStart(), but waits until the instance has the latest configuration and `targets` targets.
 Gateway& RigInstance(Rig* rig, size_t targets);
 
 Settings RigSettings(const Rig& rig);
 
-// An address of this machine that nobody listens on.
+// Returns a local address with a free port.
 std::string FreeAddress();
 
-// An instance with settings of its own; of the kind that fits the store stand-in.
+// Starts an instance with these settings and the adapter for the store of the rig.
 Gateway& RigStartWith(Rig* rig, const Settings& settings);
 
-// Waits until it holds the latest configuration and `targets` targets.
+// Waits until the instance has the latest configuration and `targets` targets.
 void RigAwait(Rig* rig, const Gateway& gateway, size_t targets);
 
+// Runs the loop until done() returns true. Returns false if RigLimitUs passed first.
 bool RigRun(Rig* rig, const std::function<bool()>& done);
 
-// Runs the loop for a while, for what must not happen.
+// Runs the loop for this time, to check that something does not happen.
 void RigIdle(Rig* rig, TimeUs time);
 
 struct RigCall
@@ -83,29 +84,29 @@
     std::string Host = "a.example";
     std::string Body;
     int DeadlineMs = 2000;
-    std::string Id;              // Made up if empty.
-    std::vector<Header> Headers; // Further ones.
+    std::string Id;              // Request id; generated if empty.
+    std::vector<Header> Headers; // Additional headers.
 };
 
 struct RigAnswer
 {
     bool Done = false;
-    std::string Id; // Of the request.
+    std::string Id; // Request id.
     ClientAnswer Answer;
 };
 
 using RigAnswerPtr = std::shared_ptr<RigAnswer>;
 
-// Sends a request as it is, to an instance, without waiting for its answer.
+// Sends a request unchanged, without waiting for its answer.
 RigAnswerPtr RigSendRequest(Rig* rig, const Gateway& instance, ClientRequest request);
 
-// Sends a request of the users' platform, without waiting for its answer.
+// Sends a request with the platform's headers, without waiting for its answer.
 RigAnswerPtr RigSend(Rig* rig, const Gateway& instance, const RigCall& call);
 
 // Sends a request and waits for its answer.
 RigAnswer RigAsk(Rig* rig, const Gateway& instance, const RigCall& call);
 
-// How often requests of that id were run, over all targets.
+// Returns how often the targets ran requests with this id.
 int RigRuns(const Rig& rig, const std::string& id);
 
 } // namespace Winchlink
