--- a/tests/fuzz/fuzz_documents.cpp
+++ b/tests/fuzz/fuzz_documents.cpp
@@ -1,4 +1,4 @@
-// fuzz_documents.cpp: libFuzzer target: tables, rows and settings as operators write them, and the answers of the service that serves them.
+// fuzz_documents.cpp: libFuzzer target for tables, rows and settings, and for the table store's answers.
 
 #include "settings.h"
 #include "table_adapter.h"
@@ -9,7 +9,7 @@
     const Winchlink::CheckedTable checked = Winchlink::ParseTable(text);
     if (checked.Faults.empty())
     {
-        // What was read can be written and read again, and is the same.
+        // A valid table is the same after formatting and parsing it again.
         const std::string written = Winchlink::FormatTable(checked.Value);
         const Winchlink::CheckedTable again = Winchlink::ParseTable(written);
         if (!again.Faults.empty() || Winchlink::FormatTable(again.Value) != written)
--- a/tests/fuzz/fuzz_page.cpp
+++ b/tests/fuzz/fuzz_page.cpp
@@ -1,4 +1,4 @@
-// fuzz_page.cpp: libFuzzer target: what one instance hands on to another.
+// fuzz_page.cpp: libFuzzer target for the pages of store items that instances send each other.
 
 #include "relay.h"
 
--- a/tests/fuzz/fuzz_platform.cpp
+++ b/tests/fuzz/fuzz_platform.cpp
@@ -1,5 +1,5 @@
-// fuzz_platform.cpp: libFuzzer target: everything that the adapter to the users' platform reads, load reports, and news of ended targets.
-// Whatever stands beside it, a good entry is named.
+// fuzz_platform.cpp: libFuzzer target for the platform adapter's input, load reports and crash reports. A valid entry must be read whatever
+// invalid entries come with it.
 
 #include "target_ends.h"
 #include "wire.h"
@@ -12,8 +12,8 @@
 constexpr const char* GoodEntry = R"({"address":"10.0.0.1:80","born":5,"info":{"service":"s","version":"v","zone":"z","capacity":3},)"
                                   R"("status":{"state":"ready","sequence":1,"warmupLeftS":0}})";
 
-// Reads the items of a page beside a good one.
-void ReadBesideGood(const Winchlink::StorePage& page)
+// Reads the items of a page together with a valid entry, which must be among the results.
+void ReadWithGoodEntry(const Winchlink::StorePage& page)
 {
     std::vector<Winchlink::StoreItem> items = page.Items;
     items.push_back({"servers/good", GoodEntry, 9, false});
@@ -38,12 +38,12 @@
     {
         if (page)
         {
-            ReadBesideGood(page.value());
+            ReadWithGoodEntry(page.value());
         }
     }
     Winchlink::StorePage values;
     values.Items = {{"servers/fuzzed", text, 8, false}, {"op/config", text, 7, false}};
-    ReadBesideGood(values);
+    ReadWithGoodEntry(values);
     (void)Winchlink::DecodeTargetEnds(text);
     Winchlink::StoreItem item;
     item.Key = "servers/fuzzed";
@@ -53,7 +53,7 @@
     const Winchlink::Result<Winchlink::RoutePlan> plan = Winchlink::PlatformReadPlan(text);
     if (plan && plan.value().Version == 0)
     {
-        __builtin_trap(); // Version 0 means that there is no plan.
+        __builtin_trap(); // Version 0 is reserved for "no plan".
     }
     return 0;
 }
--- a/tests/fuzz/fuzz_request.cpp
+++ b/tests/fuzz/fuzz_request.cpp
@@ -1,4 +1,4 @@
-// fuzz_request.cpp: libFuzzer target: what callers send. However the bytes are cut into pieces, the same requests come out.
+// fuzz_request.cpp: libFuzzer target for callers' requests. The result must not depend on how the bytes are split.
 
 #include "request_reader.h"
 
@@ -9,15 +9,15 @@
 
 struct Seen
 {
-    std::string Requests; // All that was read, in order.
+    std::string Requests; // All requests that were read, in order.
     bool Refused = false;
 };
 
-// Reads the bytes in pieces; what is left of a request in the middle of its headers is ended, so that no verdict on it is pending.
+// Reads the bytes in pieces. If they end within headers, the headers are terminated, so that the reader accepts or refuses the request.
 Seen ReadInPieces(const std::string& bytes, size_t piece)
 {
     Winchlink::CallerLimits limits;
-    limits.HeaderBytesMost = 512; // Small, so that the limits are met.
+    limits.HeaderBytesMost = 512; // Small, so that inputs reach the limits.
     limits.BodyBytesMost = 64;
     Winchlink::RequestReader reader;
     Winchlink::RequestReaderBegin(&reader, limits);
--- a/tests/fuzz/fuzz_signals.cpp
+++ b/tests/fuzz/fuzz_signals.cpp
@@ -1,5 +1,5 @@
-// fuzz_signals.cpp: libFuzzer target: what targets say of themselves in headers, and what instances tell each other of quotas. Whatever the
-// bytes, what is read lies in its range, and what is heard keeps it there.
+// fuzz_signals.cpp: libFuzzer target for the signals in targets' headers and for the quota messages between instances. All values that are
+// read, and those stored from messages, must be within their ranges.
 
 #include "quota_link.h"
 #include "target_signals.h"
@@ -28,7 +28,7 @@
     Require(!signals.ColdUs || (*signals.ColdUs >= 0 && *signals.ColdUs <= 3600 * UsPerSecond));
 }
 
-void HearMessage(const std::string& bytes)
+void ApplyMessage(const std::string& bytes)
 {
     constexpr Winchlink::TimeUs now = 1000 * Winchlink::UsPerSecond;
     const Winchlink::Result<Winchlink::QuotaMessage> message = Winchlink::DecodeQuota(bytes);
@@ -52,6 +52,6 @@
 {
     const std::string bytes(reinterpret_cast<const char*>(data), size);
     ReadHeaders(bytes);
-    HearMessage(bytes);
+    ApplyMessage(bytes);
     return 0;
 }
