--- a/bench/baselines.cpp
+++ b/bench/baselines.cpp
@@ -53,7 +53,7 @@
     return *std::min_element(from.begin(), from.end(), [&](const PoolTarget* a, const PoolTarget* b) { return load(*a) < load(*b); });
 }
 
-PoolTarget* PoolNextUnasked(TargetPool* pool, const std::vector<std::string>& passed, bool, TimeUs, Random* random)
+PoolTarget* PoolNextUnprobed(TargetPool* pool, const std::vector<std::string>& passed, bool, TimeUs, Random* random)
 {
     const std::vector<PoolTarget*> from = Candidates(pool, passed);
     const std::string& name = PolicyName();
--- a/bench/demo.cpp
+++ b/bench/demo.cpp
@@ -69,7 +69,7 @@
     std::map<std::string, int> runs;
     for (const auto& target : fleet.Targets)
     {
-        for (const TargetSaw& saw : target->Part.Saw)
+        for (const ReceivedRequest& saw : target->Part.Saw)
         {
             runs[saw.Id] += saw.Method == "POST" && saw.Run ? 1 : 0;
         }
--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -83,7 +83,7 @@
     settings.MetricsAddress = instance.Pages;
     settings.PeerAddress = instance.Peers;
     settings.StoreAddress = fleet.Store.Address;
-    for (size_t n = 0; n < fleet.Instances.size() && n < ReadersMost; n++)
+    for (size_t n = 0; n < fleet.Instances.size() && n < SeedsMax; n++)
     {
         settings.Peers.push_back(fleet.Instances[n].Peers);
     }
@@ -112,7 +112,7 @@
     ClientRequest request;
     request.Address = address;
     request.Target = path;
-    return ClientAsk(&fleet->Calls, std::move(request));
+    return ClientSendAndWait(&fleet->Calls, std::move(request));
 }
 
 static bool AwaitReady(Fleet* fleet)
@@ -138,7 +138,7 @@
     std::signal(SIGPIPE, SIG_IGN);
     fleet->Plan = plan;
     fleet->Folder = MakeFolder("winchlink-fleet");
-    fleet->Store.SpeaksTable = true;
+    fleet->Store.ServesTable = true;
     ClientStart(&fleet->Calls, &fleet->Loop);
     if (fleet->Folder.empty() || !UsersStoreStart(&fleet->Store, &fleet->Loop, FreeLoopback()))
     {
--- a/bench/pool_sizes.cpp
+++ b/bench/pool_sizes.cpp
@@ -65,7 +65,7 @@
     Random random(1);
     TargetDirectory directory = MakeDirectory(size);
     TargetPool pool;
-    PoolFollow(&pool, DirectoryByService(directory)["svc"], "near", &random);
+    PoolSync(&pool, DirectoryByService(directory)["svc"], "near", &random);
     TimeUs now = 10 * UsPerSecond;
     std::vector<std::string> busy;
     for (int n = 0; n < InProgress; n++)
@@ -80,7 +80,7 @@
         changed.Revision++;
         DirectoryPut(&directory, changed, now);
         const std::set<std::string> services = DirectoryTakeChanged(&directory);
-        PoolFollow(&pool, DirectoryOfServices(directory, services).at("svc"), "near", &random);
+        PoolSync(&pool, DirectoryOfServices(directory, services).at("svc"), "near", &random);
     };
     const auto probe = [&]()
     {
--- a/bench/process.h
+++ b/bench/process.h
@@ -16,7 +16,7 @@
 // Creates a new folder under /tmp and returns its path; empty on failure.
 std::string MakeFolder(const std::string& name);
 
-inline constexpr size_t ReadersMost = 3; // Number of seeds in a fleet: they read the store, and the other instances follow them.
+inline constexpr size_t SeedsMax = 3; // Number of seeds in a fleet: they read the store, and the other instances follow them.
 
 // Writes the settings file of an instance.
 void WriteSettings(const std::string& file, const Settings& settings);
--- a/bench/soak.cpp
+++ b/bench/soak.cpp
@@ -26,10 +26,10 @@
 {
     for (const auto& target : soak->Targets)
     {
-        std::vector<TargetSaw>& saw = target->Part.Saw;
+        std::vector<ReceivedRequest>& saw = target->Part.Saw;
         for (; target->Counted < saw.size(); target->Counted++)
         {
-            const TargetSaw& one = saw[target->Counted];
+            const ReceivedRequest& one = saw[target->Counted];
             const std::string* from = FindHeader(one.Headers, SoakInstanceHeader);
             const int instance = from != nullptr ? std::atoi(from->c_str()) : -1;
             soak->Log.Arrivals.push_back({one.Id, target->Part.Id, target->Service, instance, NowUs(), false, target->Zone});
@@ -44,7 +44,7 @@
     std::map<std::pair<std::string, std::string>, int> runs; // By target id and request id.
     for (const auto& target : soak->Targets)
     {
-        for (const TargetSaw& saw : target->Part.Saw)
+        for (const ReceivedRequest& saw : target->Part.Saw)
         {
             runs[{target->Part.Id, saw.Id}] += saw.Run ? 1 : 0;
         }
@@ -122,7 +122,7 @@
     RunFor(soak, last_answers);
     for (size_t n = first; n < end; n++)
     {
-        soak->Log.RecoveryAsked++;
+        soak->Log.RecoverySent++;
         soak->Log.RecoveryGood += soak->Log.Requests[n].Status == 200 ? 1 : 0;
     }
 }
@@ -136,13 +136,13 @@
     }
     for (int n = 0; n < soak->Plan.BatchCallers; n++)
     {
-        AskInBatches(soak);
+        SendBatches(soak);
     }
     Reap(soak);
     CollectArrivals(soak);
     Strike(soak);
-    StrikeByEnds(soak);
-    StrikeBySpared(soak);
+    InjectCrashes(soak);
+    InjectSignals(soak);
     RunFor(soak, soak->Plan.Seconds * UsPerSecond);
     soak->Striking = false;
     MeasureRecovery(soak);
@@ -153,8 +153,8 @@
     std::signal(SIGPIPE, SIG_IGN);
     Soak soak;
     soak.Rng.seed(static_cast<uint64_t>(plan.Seed));
-    soak.EndsRng.seed(~static_cast<uint64_t>(plan.Seed));
-    soak.SparedRng.seed(static_cast<uint64_t>(plan.Seed) << 32);
+    soak.CrashesRng.seed(~static_cast<uint64_t>(plan.Seed));
+    soak.SignalsRng.seed(static_cast<uint64_t>(plan.Seed) << 32);
     soak.Plan = plan;
     soak.Folder = MakeFolder("winchlink-soak");
     soak.Log.Instances = plan.Instances;
--- a/bench/soak.h
+++ b/bench/soak.h
@@ -66,7 +66,7 @@
 //-----------------------------------------------------------------------------
 
 inline constexpr TimeUs SoakGraceUs = 4 * UsPerSecond;               // Grace time of stopped instances.
-inline constexpr const char* SoakEndingPrefix = "/a/ends-";          // Prefix of the paths whose requests crash the target that runs them.
+inline constexpr const char* SoakCrashPrefix = "/a/ends-";           // Prefix of the paths whose requests crash the target that runs them.
 inline constexpr const char* SoakInstanceHeader = "X-Soak-Instance"; // Request header: index of the instance that the request was sent to.
 
 struct SoakInstance
@@ -99,8 +99,8 @@
 {
     EventLoop Loop;
     Random Rng;
-    Random SparedRng; // For soak_spared.cpp, so that its draws don't shift those of Rng.
-    Random EndsRng;   // For soak_ends.cpp, so that its draws don't shift those of Rng.
+    Random SignalsRng; // For soak_spared.cpp, so that its draws don't shift those of Rng.
+    Random CrashesRng; // For soak_ends.cpp, so that its draws don't shift those of Rng.
     UsersStore Store;
     std::vector<std::unique_ptr<SoakInstance>> Instances;
     std::vector<std::unique_ptr<SoakTarget>> Targets; // Never shrinks: the audit needs the requests of stopped targets too.
@@ -114,7 +114,7 @@
     int LastTarget = 0;
     bool Striking = true;
     bool Calling = true;
-    size_t StoreTrouble = 0;              // Index in Log.Troubles of the store's open disruption plus one; 0: none.
+    size_t StoreDisruption = 0;           // Index in Log.Troubles of the store's open disruption plus one; 0: none.
     std::map<std::string, size_t> Spoilt; // Ids of targets with an invalid entry, with the index in Log.Leavings.
     std::vector<Timer> Pauses;            // Timers started by Later().
     std::map<std::string, int> Drawn;     // Number of faults, by name.
@@ -128,8 +128,8 @@
 void Later(Soak* soak, TimeUs delay, std::function<void()> run);
 
 // Logs the start of a disruption and returns its index plus one; instance -1 is the store.
-size_t OpenTrouble(Soak* soak, int instance, bool planned);
-void CloseTrouble(Soak* soak, size_t* index);
+size_t BeginDisruption(Soak* soak, int instance, bool planned);
+void EndDisruption(Soak* soak, size_t* index);
 
 void WriteSettings(const Soak& soak, const SoakInstance& instance, double repeat_share);
 void StartInstance(Soak* soak, SoakInstance* instance);
@@ -151,7 +151,7 @@
 void Ask(Soak* soak);
 
 // Pipelines a batch of requests on one connection, and the next batch some time after the last answer, while Calling is set.
-void AskInBatches(Soak* soak);
+void SendBatches(Soak* soak);
 
 //-----------------------------------------------------------------------------
 // [SECTION] Faults
@@ -161,10 +161,10 @@
 void Strike(Soak* soak);
 
 // Injects requests that crash targets, target restarts under the same id and invalid entries, while Striking is set.
-void StrikeByEnds(Soak* soak);
+void InjectCrashes(Soak* soak);
 
 // Injects target signals: rate limits, refusals with Retry-After and announced drains, while Striking is set.
-void StrikeBySpared(Soak* soak);
+void InjectSignals(Soak* soak);
 
 // Polls for instances that have exited, logs unexpected exits, and restarts all of them after a delay.
 void Reap(Soak* soak);
--- a/bench/soak_audit.cpp
+++ b/bench/soak_audit.cpp
@@ -15,14 +15,14 @@
     return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
-// Whether no disruption of the instance or the store overlaps the time from TouchUs before `from` to `until`. Planned stops count as
+// Whether no disruption of the instance or the store overlaps the time from UndisruptedUs before `from` to `until`. Planned stops count as
 // disruptions only with `planned_counts`.
 static bool IsUndisrupted(const SoakLog& log, const SoakBounds& bounds, int instance, TimeUs from, TimeUs until, bool planned_counts)
 {
-    const auto disrupts = [&](const SoakTrouble& trouble)
+    const auto disrupts = [&](const SoakDisruption& trouble)
     {
         const bool concerns = trouble.Instance == instance || trouble.Instance < 0;
-        const bool overlaps = trouble.FromUs < until && trouble.UntilUs > from - bounds.TouchUs;
+        const bool overlaps = trouble.FromUs < until && trouble.UntilUs > from - bounds.UndisruptedUs;
         return concerns && overlaps && (planned_counts || !trouble.Planned);
     };
     return std::none_of(log.Troubles.begin(), log.Troubles.end(), disrupts);
@@ -85,7 +85,7 @@
 
 static void CheckDrains(const SoakLog& log, const SoakBounds& bounds, Findings* found)
 {
-    for (const SoakLeaving& leaving : log.Leavings)
+    for (const SoakDrain& leaving : log.Leavings)
     {
         for (const SoakArrival& arrival : log.Arrivals)
         {
@@ -122,12 +122,12 @@
 
 static void CheckColds(const SoakLog& log, const SoakBounds& bounds, Findings* found)
 {
-    for (const SoakCold& cold : log.Colds)
+    for (const SoakColdSpan& cold : log.Colds)
     {
         std::vector<TimeUs> times;
         for (const SoakArrival& arrival : log.Arrivals)
         {
-            const bool counts = arrival.AtUs > cold.FromUs + bounds.ColdSeenUs && arrival.AtUs < cold.UntilUs;
+            const bool counts = arrival.AtUs > cold.FromUs + bounds.ColdGraceUs && arrival.AtUs < cold.UntilUs;
             if (arrival.Target == cold.Target && counts)
             {
                 times.push_back(arrival.AtUs);
@@ -135,7 +135,7 @@
         }
         for (const TimeUs at : times)
         {
-            if (CountIn(times, at, at + UsPerSecond) > bounds.ColdInASecond)
+            if (CountIn(times, at, at + UsPerSecond) > bounds.ColdMaxPerS)
             {
                 (*found)["too many requests to a cold target"].push_back(cold.Target);
             }
@@ -159,7 +159,7 @@
 
 // Arrivals that count against a limit: those from instances that were not disrupted since it was first sent, later than HeardUs after the
 // first arrival of the instance.
-static std::vector<TimeUs> ArrivalsUnderLimit(const SoakLog& log, const SoakBounds& bounds, const SoakLimit& limit)
+static std::vector<TimeUs> ArrivalsUnderLimit(const SoakLog& log, const SoakBounds& bounds, const SoakLimitSpan& limit)
 {
     std::vector<TimeUs> times;
     for (const auto& [instance, arrivals] : ByInstance(log, limit.Target, limit.FromUs, limit.UntilUs))
@@ -178,14 +178,14 @@
 
 static void CheckLimits(const SoakLog& log, const SoakBounds& bounds, Findings* found)
 {
-    for (const SoakLimit& limit : log.Limits)
+    for (const SoakLimitSpan& limit : log.Limits)
     {
         const std::vector<TimeUs> times = ArrivalsUnderLimit(log, bounds, limit);
         const double window_s = static_cast<double>(bounds.LimitWindowUs) / UsPerSecond;
         const double most = limit.PerS * window_s * bounds.LimitOverage + bounds.LimitSlack;
         for (const TimeUs at : times)
         {
-            const bool binds = at >= limit.FromUs + bounds.LimitSpreadUs;
+            const bool binds = at >= limit.FromUs + bounds.LimitApplyUs;
             if (binds && CountIn(times, at - bounds.LimitWindowUs + 1, at + 1) > most)
             {
                 (*found)["more requests than a target takes"].push_back(limit.Target);
@@ -205,15 +205,15 @@
 
 static void CheckRetryAfter(const SoakLog& log, const SoakBounds& bounds, Findings* found)
 {
-    for (const SoakRest& rest : log.Rests)
+    for (const SoakRefusalSpan& rest : log.Rests)
     {
-        for (const auto& [instance, arrivals] : ByInstance(log, rest.Target, rest.FromUs, rest.UntilUs + rest.RestUs))
+        for (const auto& [instance, arrivals] : ByInstance(log, rest.Target, rest.FromUs, rest.UntilUs + rest.RefusalPauseUs))
         {
             for (const SoakArrival* refused : arrivals)
             {
-                const TimeUs until = std::min(refused->AtUs + rest.RestUs, rest.NextStartUs);
+                const TimeUs until = std::min(refused->AtUs + rest.RefusalPauseUs, rest.NextStartUs);
                 const bool was_refused = refused->AtUs < rest.UntilUs && !refused->Run;
-                const bool too_many = CountBetween(arrivals, refused->AtUs + bounds.HeardUs, until) > bounds.RestMost;
+                const bool too_many = CountBetween(arrivals, refused->AtUs + bounds.HeardUs, until) > bounds.RetryAfterArrivalsMax;
                 if (was_refused && too_many && IsUndisrupted(log, bounds, instance, refused->AtUs, until, true))
                 {
                     (*found)["sent to a target that wants nothing"].push_back(refused->Id);
@@ -225,7 +225,7 @@
 
 static void CheckAnnouncedDrains(const SoakLog& log, const SoakBounds& bounds, Findings* found)
 {
-    for (const SoakLeaving& leaving : log.SaidLeaving)
+    for (const SoakDrain& leaving : log.AnnouncedDrains)
     {
         for (const auto& [instance, arrivals] : ByInstance(log, leaving.Target, leaving.AtUs, leaving.UntilUs))
         {
@@ -304,7 +304,7 @@
 {
     std::map<std::string, size_t> ends;
     std::map<std::string, TimeUs> enough;
-    for (const SoakEnd& end : log.Ends)
+    for (const SoakCrash& end : log.Ends)
     {
         if (++ends[end.Path] == bounds.EndsMost)
         {
@@ -329,7 +329,7 @@
         }
         for (const SoakArrival* arrival : of->second)
         {
-            const bool late = arrival->AtUs > ended->second + bounds.TouchUs;
+            const bool late = arrival->AtUs > ended->second + bounds.UndisruptedUs;
             if (late && IsUndisrupted(log, bounds, arrival->Instance, ended->second, arrival->AtUs, true) &&
                 ++sent_later[request.Path] > bounds.EndsMost)
             {
@@ -359,21 +359,21 @@
     CheckAnnouncedDrains(log, bounds, &found);
     CheckBudget(log, bounds, &found);
     CheckQuarantines(log, bounds, arrivals, &found);
-    if (log.RecoveryGood < bounds.RecoveryShare * log.RecoveryAsked)
+    if (log.RecoveryGood < bounds.RecoveryShare * log.RecoverySent)
     {
-        found["not recovered"].push_back(fmt::format("{} of {}", log.RecoveryGood, log.RecoveryAsked));
+        found["not recovered"].push_back(fmt::format("{} of {}", log.RecoveryGood, log.RecoverySent));
     }
-    if (log.OwnEnds > 0)
+    if (log.UnexpectedExits > 0)
     {
-        found["ended by itself"].push_back(std::to_string(log.OwnEnds));
+        found["ended by itself"].push_back(std::to_string(log.UnexpectedExits));
     }
     if (log.ForeignBytes > 0)
     {
         found["bytes that answer nothing"].push_back(std::to_string(log.ForeignBytes));
     }
-    if (log.LateEnds > 0)
+    if (log.KilledAfterGrace > 0)
     {
-        found["still there after its grace time"].push_back(std::to_string(log.LateEnds));
+        found["still there after its grace time"].push_back(std::to_string(log.KilledAfterGrace));
     }
     std::vector<std::string> lines;
     for (const auto& entry : found)
--- a/bench/soak_audit.h
+++ b/bench/soak_audit.h
@@ -38,7 +38,7 @@
 };
 
 // A time span in which a fault disrupts an instance or the store.
-struct SoakTrouble
+struct SoakDisruption
 {
     int Instance = -1; // -1: the store.
     TimeUs FromUs = 0;
@@ -54,7 +54,7 @@
 };
 
 // A target that drains, or whose entry was overwritten with an invalid one.
-struct SoakLeaving
+struct SoakDrain
 {
     std::string Target;
     TimeUs AtUs = 0;                                     // Time at which the store held the change, or the target first announced it.
@@ -62,7 +62,7 @@
 };
 
 // A crash of a target while it ran a request.
-struct SoakEnd
+struct SoakCrash
 {
     std::string Path; // Path of the request.
     TimeUs AtUs = 0;
@@ -76,7 +76,7 @@
 };
 
 // A time span in which a target is cold.
-struct SoakCold
+struct SoakColdSpan
 {
     std::string Target;
     TimeUs FromUs = 0; // From then on its health answers report it.
@@ -84,7 +84,7 @@
 };
 
 // A time span in which a target's answers carry a rate limit.
-struct SoakLimit
+struct SoakLimitSpan
 {
     std::string Target;
     double PerS = 0;
@@ -93,10 +93,10 @@
 };
 
 // A time span in which a target refuses every request with Retry-After.
-struct SoakRest
+struct SoakRefusalSpan
 {
     std::string Target;
-    TimeUs RestUs = 0; // Retry-After: the sending instance must pause for so long after each refusal.
+    TimeUs RefusalPauseUs = 0; // Retry-After: the sending instance must pause for so long after each refusal.
     TimeUs FromUs = 0;
     TimeUs UntilUs = 0;
     TimeUs NextStartUs = std::numeric_limits<TimeUs>::max(); // Its next restart, which ends the pauses.
@@ -106,20 +106,20 @@
 {
     std::vector<SoakRequest> Requests;
     std::vector<SoakArrival> Arrivals;
-    std::vector<SoakTrouble> Troubles;
+    std::vector<SoakDisruption> Troubles;
     std::vector<SoakVersion> Versions; // In order of publication.
-    std::vector<SoakLeaving> Leavings; // Published in the store.
+    std::vector<SoakDrain> Leavings;   // Published in the store.
     std::vector<SoakEvacuation> Evacuations;
-    std::vector<SoakCold> Colds;
-    std::vector<SoakEnd> Ends; // In order of time.
-    std::vector<SoakLimit> Limits;
-    std::vector<SoakRest> Rests;
-    std::vector<SoakLeaving> SaidLeaving; // Announced only in the targets' answers.
+    std::vector<SoakColdSpan> Colds;
+    std::vector<SoakCrash> Ends; // In order of time.
+    std::vector<SoakLimitSpan> Limits;
+    std::vector<SoakRefusalSpan> Rests;
+    std::vector<SoakDrain> AnnouncedDrains; // Announced only in the targets' answers.
     int Instances = 0;
-    int OwnEnds = 0;       // Instances that exited unexpectedly.
-    int ForeignBytes = 0;  // Connections on which bytes beyond the expected answers arrived.
-    int LateEnds = 0;      // Instances that had to be killed after their grace time.
-    int RecoveryAsked = 0; // Requests sent after all faults have ended.
+    int UnexpectedExits = 0;  // Instances that exited unexpectedly.
+    int ForeignBytes = 0;     // Connections on which bytes beyond the expected answers arrived.
+    int KilledAfterGrace = 0; // Instances that had to be killed after their grace time.
+    int RecoverySent = 0;     // Requests sent after all faults have ended.
     int RecoveryGood = 0;
 };
 
@@ -129,20 +129,20 @@
     TimeUs DrainUs = 2 * UsPerSecond;       // Time until instances must apply a drain.
     TimeUs ApplyUs = 2 * UsPerSecond;       // Time until instances must apply a configuration.
     TimeUs EvacuateUs = 2 * UsPerSecond;    // Time until instances must apply an evacuation.
-    TimeUs ColdSeenUs = 300 * UsPerMs;      // Time after a target turned cold during which arrivals are not checked.
-    double ColdInASecond = 2.5 * 1.5 + 8;   // Maximum arrivals at a cold target in any second, from all instances.
-    TimeUs TouchUs = 3 * UsPerSecond;       // An instance is checked only after so long without a disruption.
+    TimeUs ColdGraceUs = 300 * UsPerMs;     // Time after a target turned cold during which arrivals are not checked.
+    double ColdMaxPerS = 2.5 * 1.5 + 8;     // Maximum arrivals at a cold target in any second, from all instances.
+    TimeUs UndisruptedUs = 3 * UsPerSecond; // An instance is checked only after so long without a disruption.
     TimeUs HeardUs = 500 * UsPerMs;         // Time after which requests sent before an answer was received have arrived.
-    TimeUs LimitSpreadUs = 3 * UsPerSecond; // A rate limit is checked so long after it was first sent:
+    TimeUs LimitApplyUs = 3 * UsPerSecond;  // A rate limit is checked so long after it was first sent:
     TimeUs LimitWindowUs = 4 * UsPerSecond; // in any window of this length, arrivals are at most
     double LimitOverage = 1.5;              // the limit times this factor,
     double LimitSlack = 5;                  // plus this number.
-    size_t RestMost = 2;                    // Maximum arrivals from one instance within the Retry-After time of a refusal.
+    size_t RetryAfterArrivalsMax = 2;       // Maximum arrivals from one instance within the Retry-After time of a refusal.
     TimeUs WindowUs = 10 * UsPerSecond;     // Window of the retry budget.
     double RepeatShare = 0.2;               // Maximum share of retries in the first attempts of a window.
     int RepeatExtra = 2;                    // Further retries per instance and service.
-    size_t EndsMost = 3;                    // Crashes after which a path is quarantined; maximum arrivals later than TouchUs after that.
-    double RecoveryShare = 0.95;            // Minimum share of successes among the requests sent after all faults.
+    size_t EndsMost = 3;         // Crashes after which a path is quarantined; maximum arrivals later than UndisruptedUs after that.
+    double RecoveryShare = 0.95; // Minimum share of successes among the requests sent after all faults.
 };
 
 // One line for each kind of breach, with the number of breaches and the first request or target.
--- a/bench/soak_ends.cpp
+++ b/bench/soak_ends.cpp
@@ -18,7 +18,7 @@
 
 static int64_t DrawWithEndsRng(Soak* soak, int64_t least, int64_t most)
 {
-    return std::uniform_int_distribution<int64_t>(least, most)(soak->EndsRng);
+    return std::uniform_int_distribution<int64_t>(least, most)(soak->CrashesRng);
 }
 
 //-----------------------------------------------------------------------------
@@ -40,10 +40,10 @@
 // Closes all spans that a restart ends: the new process is warm and has announced nothing.
 static void CloseSpansOfTarget(SoakLog* log, const std::string& id)
 {
-    CloseOpenSpans(&log->Colds, id, &SoakCold::UntilUs);
-    CloseOpenSpans(&log->Limits, id, &SoakLimit::UntilUs);
-    CloseOpenSpans(&log->Rests, id, &SoakRest::NextStartUs);
-    CloseOpenSpans(&log->SaidLeaving, id, &SoakLeaving::UntilUs);
+    CloseOpenSpans(&log->Colds, id, &SoakColdSpan::UntilUs);
+    CloseOpenSpans(&log->Limits, id, &SoakLimitSpan::UntilUs);
+    CloseOpenSpans(&log->Rests, id, &SoakRefusalSpan::NextStartUs);
+    CloseOpenSpans(&log->AnnouncedDrains, id, &SoakDrain::UntilUs);
 }
 
 static void RestartTarget(Soak* soak, SoakTarget* former)
@@ -215,7 +215,7 @@
     if (draw == 0)
     {
         soak->Drawn["ending request"]++;
-        SendCrashingRequests(soak, fmt::format("{}{}", SoakEndingPrefix, soak->Drawn["ending request"]));
+        SendCrashingRequests(soak, fmt::format("{}{}", SoakCrashPrefix, soak->Drawn["ending request"]));
     }
     else if (draw < 3 && target != nullptr)
     {
@@ -231,7 +231,7 @@
     Later(soak, DrawWithEndsRng(soak, 300, 2500) * UsPerMs, [soak]() { InjectCrashFaults(soak); });
 }
 
-void StrikeByEnds(Soak* soak)
+void InjectCrashes(Soak* soak)
 {
     if (soak->Plan.Faults == SoakFaults_All)
     {
--- a/bench/soak_faults.cpp
+++ b/bench/soak_faults.cpp
@@ -28,28 +28,28 @@
 
 static void KillInstance(Soak* soak, SoakInstance* instance)
 {
-    CloseTrouble(soak, &instance->Trouble);
-    instance->Trouble = OpenTrouble(soak, instance->Index, false);
+    EndDisruption(soak, &instance->Trouble);
+    instance->Trouble = BeginDisruption(soak, instance->Index, false);
     instance->Ending = true;
     kill(instance->Pid, SIGKILL);
 }
 
 static void PauseInstance(Soak* soak, SoakInstance* instance)
 {
-    instance->Trouble = OpenTrouble(soak, instance->Index, false);
+    instance->Trouble = BeginDisruption(soak, instance->Index, false);
     kill(instance->Pid, SIGSTOP);
     const pid_t pid = instance->Pid;
     instance->Next = TimerStart(&soak->Loop, MsBetween(soak, 50, 2500),
                                 [soak, instance, pid]()
                                 {
                                     kill(pid, SIGCONT);
-                                    CloseTrouble(soak, &instance->Trouble);
+                                    EndDisruption(soak, &instance->Trouble);
                                 });
 }
 
 static void StopInstance(Soak* soak, SoakInstance* instance)
 {
-    instance->Trouble = OpenTrouble(soak, instance->Index, true);
+    instance->Trouble = BeginDisruption(soak, instance->Index, true);
     instance->Ending = true;
     kill(instance->Pid, SIGTERM);
     Later(soak, 2 * UsPerSecond, [instance]() { instance->Leaving = instance->Ending; }); // Callers stop using it.
@@ -57,7 +57,7 @@
     instance->Next = TimerStart(&soak->Loop, SoakGraceUs + slack,
                                 [soak, instance]()
                                 {
-                                    soak->Log.LateEnds++;
+                                    soak->Log.KilledAfterGrace++;
                                     KillInstance(soak, instance);
                                 });
 }
@@ -73,13 +73,13 @@
 
 static void CutFromStore(Soak* soak, SoakInstance* instance)
 {
-    instance->Trouble = OpenTrouble(soak, instance->Index, false);
+    instance->Trouble = BeginDisruption(soak, instance->Index, false);
     ProxySetMode(&instance->ToStore, static_cast<ProxyMode_>(Between(soak, ProxyMode_Delay, ProxyMode_Reset)));
     instance->Next = TimerStart(&soak->Loop, MsBetween(soak, 200, 4000),
                                 [soak, instance]()
                                 {
                                     ProxySetMode(&instance->ToStore, ProxyMode_Good);
-                                    CloseTrouble(soak, &instance->Trouble);
+                                    EndDisruption(soak, &instance->Trouble);
                                 });
 }
 
@@ -94,7 +94,7 @@
         }
         if (!instance->Ending)
         {
-            soak->Log.OwnEnds++;
+            soak->Log.UnexpectedExits++;
             fmt::print("instance {} ended by itself, status {}\n", instance->Index, status);
         }
         instance->Pid = -1;
@@ -110,19 +110,19 @@
 
 static void DisruptStore(Soak* soak)
 {
-    soak->StoreTrouble = OpenTrouble(soak, -1, false);
-    UsersStoreSetMode(&soak->Store, static_cast<StoreMode_>(Between(soak, StoreMode_Silent, StoreMode_Deaf)));
+    soak->StoreDisruption = BeginDisruption(soak, -1, false);
+    UsersStoreSetMode(&soak->Store, static_cast<StoreMode_>(Between(soak, StoreMode_Silent, StoreMode_NoChanges)));
     Later(soak, MsBetween(soak, 200, 4000),
           [soak]()
           {
-              const bool deaf = soak->Store.Mode == StoreMode_Deaf;
+              const bool deaf = soak->Store.Mode == StoreMode_NoChanges;
               UsersStoreSetMode(&soak->Store, StoreMode_Good);
               if (deaf)
               {
                   UsersStoreCompact(&soak->Store);
               }
               soak->Store.Held.clear();
-              CloseTrouble(soak, &soak->StoreTrouble);
+              EndDisruption(soak, &soak->StoreDisruption);
           });
 }
 
@@ -229,7 +229,7 @@
                       MakeCold(soak, target.get());
                   }
               }
-              UsersStoreGiveBack(&soak->Store, data_centre);
+              UsersStoreEndEvacuation(&soak->Store, data_centre);
           });
 }
 
@@ -291,7 +291,7 @@
 
 static void InjectStoreFault(Soak* soak)
 {
-    if (soak->StoreTrouble == 0)
+    if (soak->StoreDisruption == 0)
     {
         soak->Drawn["store"]++;
         DisruptStore(soak);
--- a/bench/soak_parts.cpp
+++ b/bench/soak_parts.cpp
@@ -35,14 +35,14 @@
     soak->Pauses.push_back(TimerStart(&soak->Loop, delay, std::move(run)));
 }
 
-size_t OpenTrouble(Soak* soak, int instance, bool planned)
+size_t BeginDisruption(Soak* soak, int instance, bool planned)
 {
     constexpr TimeUs open_end = std::numeric_limits<TimeUs>::max();
     soak->Log.Troubles.push_back({instance, NowUs(), open_end, planned});
     return soak->Log.Troubles.size();
 }
 
-void CloseTrouble(Soak* soak, size_t* index)
+void EndDisruption(Soak* soak, size_t* index)
 {
     if (*index != 0)
     {
@@ -68,7 +68,7 @@
     settings.StoreAddress = instance.ToStore.Address;
     settings.GraceUs = SoakGraceUs;
     settings.RetryShare = repeat_share;
-    for (size_t n = 0; n < soak.Instances.size() && n < ReadersMost; n++)
+    for (size_t n = 0; n < soak.Instances.size() && n < SeedsMax; n++)
     {
         settings.Peers.push_back(soak.Instances[n]->PeerAddress);
     }
@@ -80,7 +80,7 @@
     instance->Pid = StartProcess({soak->Plan.Program, "gateway", "--settings", SettingsFile(*instance)}, instance->Folder + "/log", {});
     instance->Ending = false;
     instance->Leaving = false;
-    CloseTrouble(soak, &instance->Trouble);
+    EndDisruption(soak, &instance->Trouble);
 }
 
 static SoakTarget* StartTarget(Soak* soak, const std::string& id, const std::string& service, const std::string& zone, uint64_t born)
@@ -90,7 +90,7 @@
     target->Service = service;
     target->Zone = zone;
     target->Part.WorkUs = 15 * UsPerMs;
-    target->Part.EndsOn = SoakEndingPrefix;
+    target->Part.CrashPrefix = SoakCrashPrefix;
     UsersTargetStart(&target->Part, &soak->Loop, id, FreeLoopback());
     ProxyStart(&target->Before, &soak->Loop, FreeLoopback(), target->Part.Address);
     UsersStoreTarget(&soak->Store, id, service, target->Before.Address, target->Zone, false, 0, born);
--- a/bench/soak_pipeline.cpp
+++ b/bench/soak_pipeline.cpp
@@ -64,7 +64,7 @@
     batch->Limit = nullptr;
     if (soak->Calling)
     {
-        Later(soak, MsBetween(soak, 20, 200), [soak]() { AskInBatches(soak); });
+        Later(soak, MsBetween(soak, 20, 200), [soak]() { SendBatches(soak); });
     }
 }
 
@@ -166,13 +166,13 @@
     }
 }
 
-void AskInBatches(Soak* soak)
+void SendBatches(Soak* soak)
 {
     constexpr int64_t longest = 6; // Maximum requests in a batch.
     const SoakInstance* instance = PickInstance(soak);
     if (instance == nullptr)
     {
-        Later(soak, MsBetween(soak, 20, 200), [soak]() { AskInBatches(soak); });
+        Later(soak, MsBetween(soak, 20, 200), [soak]() { SendBatches(soak); });
         return;
     }
     const auto batch = std::make_shared<Batch>();
--- a/bench/soak_spared.cpp
+++ b/bench/soak_spared.cpp
@@ -15,7 +15,7 @@
 
 static int64_t DrawWithSparedRng(Soak* soak, int64_t least, int64_t most)
 {
-    return std::uniform_int_distribution<int64_t>(least, most)(soak->SparedRng);
+    return std::uniform_int_distribution<int64_t>(least, most)(soak->SignalsRng);
 }
 
 static TimeUs DrawTimeWithSparedRng(Soak* soak, int64_t least_ms, int64_t most_ms)
@@ -60,13 +60,13 @@
     const int64_t rest_s = DrawWithSparedRng(soak, 1, 3);
     const TimeUs time = DrawTimeWithSparedRng(soak, 300, 3000);
     target->Part.Refuses = true;
-    target->Part.SaysRefusing = {{"Retry-After", std::to_string(rest_s)}};
+    target->Part.RefusalHeaders = {{"Retry-After", std::to_string(rest_s)}};
     soak->Log.Rests.push_back({target->Part.Id, rest_s * UsPerSecond, NowUs(), NowUs() + time});
     Later(soak, time,
           [target]()
           {
               target->Part.Refuses = false;
-              target->Part.SaysRefusing.clear();
+              target->Part.RefusalHeaders.clear();
           });
 }
 
@@ -75,7 +75,7 @@
 {
     AddTarget(soak, target->Service);
     target->Part.Says = {{"Server-Leaving", "1"}};
-    soak->Log.SaidLeaving.push_back({target->Part.Id, NowUs()});
+    soak->Log.AnnouncedDrains.push_back({target->Part.Id, NowUs()});
     Later(soak, DrawTimeWithSparedRng(soak, 3000, 6000),
           [soak, target]()
           {
@@ -115,7 +115,7 @@
     Later(soak, DrawTimeWithSparedRng(soak, 300, 2000), [soak]() { InjectSignalFaults(soak); });
 }
 
-void StrikeBySpared(Soak* soak)
+void InjectSignals(Soak* soak)
 {
     if (soak->Plan.Faults == SoakFaults_All)
     {
--- a/bench/users_store.cpp
+++ b/bench/users_store.cpp
@@ -57,7 +57,7 @@
     {
         return FormatForeign(item);
     }
-    if (store.SpeaksTable)
+    if (store.ServesTable)
     {
         return FormatRowItem(item);
     }
@@ -77,7 +77,7 @@
         return FormatItem(store, event.Item);
     }
     json_t* object = json_object();
-    json_object_set_new(object, store.SpeaksTable ? "name" : "privateKey", JsonText(event.Item.Key));
+    json_object_set_new(object, store.ServesTable ? "name" : "privateKey", JsonText(event.Item.Key));
     json_object_set_new(object, "revision", JsonNumber(event.Item.Revision));
     json_object_set_new(object, "gone", json_true());
     return object;
@@ -126,7 +126,7 @@
         }
     }
     json_t* object = json_object();
-    json_object_set_new(object, store->SpeaksTable ? "rows" : "items", items);
+    json_object_set_new(object, store->ServesTable ? "rows" : "items", items);
     json_object_set_new(object, "more", json_boolean(more));
     json_object_set_new(object, "at", JsonNumber(store->Revision));
     Reply(call, JsonReply(object));
@@ -143,7 +143,7 @@
         }
     }
     json_t* object = json_object();
-    json_object_set_new(object, store.SpeaksTable ? "rows" : "events", events);
+    json_object_set_new(object, store.ServesTable ? "rows" : "events", events);
     json_object_set_new(object, "at", JsonNumber(store.Revision));
     return JsonReply(object);
 }
@@ -171,7 +171,7 @@
         Reply(call, CallerReply{410, {}, "", false});
         return;
     }
-    if (after < store->Revision && store->Mode != StoreMode_Deaf)
+    if (after < store->Revision && store->Mode != StoreMode_NoChanges)
     {
         Reply(call, ChangesAfter(*store, after));
         return;
@@ -202,13 +202,13 @@
     case StoreMode_TooMany:
         Reply(call, CallerReply{429, {}, "", false});
         return;
-    case StoreMode_Torn:
+    case StoreMode_BadJson:
         Reply(call, CallerReply{200, {}, "{\"items\":[{\"privateKey\":", false});
         return;
     default:
         break;
     }
-    const char* pages = store->SpeaksTable ? "/v1/rows" : "/kv-range";
+    const char* pages = store->ServesTable ? "/v1/rows" : "/kv-range";
     if (call->Target.rfind(pages, 0) == 0)
     {
         AnswerPage(store, call);
@@ -311,7 +311,7 @@
 
 static std::string EvacuationKey(const UsersStore& store, const std::string& data_centre)
 {
-    return (store.SpeaksTable ? "evacuated:" : "op/evacuate/") + data_centre;
+    return (store.ServesTable ? "evacuated:" : "op/evacuate/") + data_centre;
 }
 
 void UsersStoreEvacuate(UsersStore* store, const std::string& data_centre)
@@ -319,7 +319,7 @@
     UsersStorePut(store, EvacuationKey(*store, data_centre), "{}");
 }
 
-void UsersStoreGiveBack(UsersStore* store, const std::string& data_centre)
+void UsersStoreEndEvacuation(UsersStore* store, const std::string& data_centre)
 {
     UsersStoreRemove(store, EvacuationKey(*store, data_centre));
 }
@@ -406,8 +406,8 @@
     UsersStorePut(store, "op/config", DumpJson(FormatConfiguration(version, routes), JSON_COMPACT));
 }
 
-void UsersStoreConfigureFor(UsersStore* store, uint64_t version, const std::vector<UsersRoute>& routes,
-                            const std::vector<UsersCustomer>& customers)
+void UsersStoreConfigureCustomers(UsersStore* store, uint64_t version, const std::vector<UsersRoute>& routes,
+                                  const std::vector<UsersCustomer>& customers)
 {
     json_t* list = json_array();
     for (const UsersCustomer& customer : customers)
--- a/bench/users_store.h
+++ b/bench/users_store.h
@@ -1,5 +1,5 @@
 // users_store.h: a simulation of the platform's key-value store: items with revisions, paged reads, long polls for changes. With
-// SpeaksTable it simulates the service that serves the table's rows instead (docs/PLATFORM.md).
+// ServesTable it simulates the service that serves the table's rows instead (docs/PLATFORM.md).
 //
 // It runs inside an event loop, beside the other parts of a test or of the soak. Mode selects a fault.
 //
@@ -23,11 +23,11 @@
 enum StoreMode_ : int
 {
     StoreMode_Good,
-    StoreMode_Silent,   // Reads calls and never answers them.
-    StoreMode_Refusing, // Answers with status 503.
-    StoreMode_TooMany,  // Answers with status 429.
-    StoreMode_Torn,     // Answers with incomplete JSON.
-    StoreMode_Deaf,     // Long polls get no changes; page reads work.
+    StoreMode_Silent,    // Reads calls and never answers them.
+    StoreMode_Refusing,  // Answers with status 503.
+    StoreMode_TooMany,   // Answers with status 429.
+    StoreMode_BadJson,   // Answers with incomplete JSON.
+    StoreMode_NoChanges, // Long polls get no changes; page reads work.
     StoreMode_COUNT,
 };
 
@@ -59,7 +59,7 @@
     std::string Address;
     EventLoop* Loop = nullptr;
     Listener Server;
-    bool SpeaksTable = false; // Serves rows of the table, keyed by name.
+    bool ServesTable = false; // Serves rows of the table, keyed by name.
     StoreMode_ Mode = StoreMode_Good;
     size_t PageItems = 50;                  // Maximum items in a page.
     uint64_t Revision = 1;                  // Revision of the latest change.
@@ -97,12 +97,12 @@
 // Stores an item whose JSON is sent as given; an object without a revision gets one.
 void UsersStorePutForeign(UsersStore* store, const std::string& key, const std::string& json);
 
-// Publishes a row; only with SpeaksTable.
+// Publishes a row; only with ServesTable.
 void UsersStorePutRow(UsersStore* store, const ServiceRow& row);
 
 // Starts or ends the evacuation of a data centre.
 void UsersStoreEvacuate(UsersStore* store, const std::string& data_centre);
-void UsersStoreGiveBack(UsersStore* store, const std::string& data_centre);
+void UsersStoreEndEvacuation(UsersStore* store, const std::string& data_centre);
 
 // A route in the configuration.
 struct UsersRoute
@@ -133,8 +133,8 @@
 void UsersStoreConfigure(UsersStore* store, uint64_t version, const std::vector<UsersRoute>& routes);
 
 // Publishes a configuration with customers, so that requests need a key.
-void UsersStoreConfigureFor(UsersStore* store, uint64_t version, const std::vector<UsersRoute>& routes,
-                            const std::vector<UsersCustomer>& customers);
+void UsersStoreConfigureCustomers(UsersStore* store, uint64_t version, const std::vector<UsersRoute>& routes,
+                                  const std::vector<UsersCustomer>& customers);
 
 // Publishes a target's entry; `cold_s`: remaining cold time in seconds; `born`: start time in Unix milliseconds, left out if 0.
 void UsersStoreTarget(UsersStore* store, const std::string& id, const std::string& service, const std::string& address,
--- a/bench/users_target.cpp
+++ b/bench/users_target.cpp
@@ -87,7 +87,7 @@
 static std::string LoadLine(const UsersTarget& target)
 {
     const std::string load = fmt::format("{},{},{},{}", target.Running, target.Waiting.size(), target.Slots, target.PacePercent);
-    return target.TellsLoad ? HeaderLine(target.Names.Load, load) : "";
+    return target.SendsLoad ? HeaderLine(target.Names.Load, load) : "";
 }
 
 // Header lines with the load report and the configured signals for an answer with this status.
@@ -98,7 +98,7 @@
     {
         text += HeaderLine(header.Name, header.Value);
     }
-    for (const Header& header : status == 503 ? target.SaysRefusing : std::vector<Header>())
+    for (const Header& header : status == 503 ? target.RefusalHeaders : std::vector<Header>())
     {
         text += HeaderLine(header.Name, header.Value);
     }
@@ -111,12 +111,12 @@
                        extra);
 }
 
-static std::string SignatureLine(const UsersTarget& target, const TargetSaw& request)
+static std::string SignatureLine(const UsersTarget& target, const ReceivedRequest& request)
 {
     return HeaderLine(target.Names.Signature, target.Id + "." + request.Id);
 }
 
-static std::string BodyFor(const UsersTarget& target, const TargetSaw& request)
+static std::string BodyFor(const UsersTarget& target, const ReceivedRequest& request)
 {
     return fmt::format("{} ran {} {} with {} bytes", target.Id, request.Method, request.Path, request.Body.size());
 }
@@ -127,7 +127,7 @@
 }
 
 // The bytes of an answer, for behaviours that send one.
-static std::string AnswerBytes(const UsersTarget& target, const TargetSaw& request, TargetAct_ act)
+static std::string AnswerBytes(const UsersTarget& target, const ReceivedRequest& request, TargetAct_ act)
 {
     const std::string signature = SignatureLine(target, request);
     const std::string body = BodyFor(target, request);
@@ -136,9 +136,9 @@
     {
     case TargetAct_Failed:
         return CompleteAnswer(AnswerHead(target, 500, request.Id, signature), "failed");
-    case TargetAct_Shed:
+    case TargetAct_Refuse:
         return CompleteAnswer(AnswerHead(target, 503, request.Id, HeaderLine(target.Names.NotExecuted, NotRun)), "");
-    case TargetAct_BareShed:
+    case TargetAct_RefuseUnmarked:
         return CompleteAnswer(AnswerHead(target, 503, request.Id, signature), "");
     case TargetAct_Garbage:
         return "\x16\x03\x01 this is no answer\r\n\r\n";
@@ -220,10 +220,10 @@
 
 static void Finish(UsersTarget* target, uint64_t id, size_t request, TargetAct_ act)
 {
-    if (!target->EndsOn.empty() && target->Saw[request].Path.rfind(target->EndsOn, 0) == 0)
+    if (!target->CrashPrefix.empty() && target->Saw[request].Path.rfind(target->CrashPrefix, 0) == 0)
     {
         target->EndedBy = target->Saw[request].Path;
-        target->EndsSilently ? UsersTargetSilence(target) : UsersTargetStop(target);
+        target->CrashesSilently ? UsersTargetPowerOff(target) : UsersTargetStop(target);
         return;
     }
     target->Running--;
@@ -261,7 +261,7 @@
 {
     const TargetAct_ act = NextAct(target);
     TargetConnection* connection = FindConnection(target, id);
-    if (act == TargetAct_Shed)
+    if (act == TargetAct_Refuse)
     {
         connection->Busy = false;
         target->Refusals.push_back(NowUs());
@@ -283,7 +283,7 @@
     return target.Running >= target.Slots && static_cast<int>(target.Waiting.size()) >= target.Queue;
 }
 
-static void Submit(UsersTarget* target, TargetConnection* connection, const TargetSaw& request)
+static void Submit(UsersTarget* target, TargetConnection* connection, const ReceivedRequest& request)
 {
     const uint64_t id = connection->Id;
     target->Saw.push_back(request);
@@ -306,7 +306,7 @@
     {
         connection->Busy = false;
         target->Refusals.push_back(NowUs());
-        Write(*connection, AnswerBytes(*target, request, TargetAct_Shed));
+        Write(*connection, AnswerBytes(*target, request, TargetAct_Refuse));
         return;
     }
     target->Waiting.push_back({id, connection->Request});
@@ -317,9 +317,9 @@
 // [SECTION] Reading
 //-----------------------------------------------------------------------------
 
-static TargetSaw ParseHead(const UsersTarget& target, const std::string& head)
+static ReceivedRequest ParseHead(const UsersTarget& target, const std::string& head)
 {
-    TargetSaw request;
+    ReceivedRequest request;
     size_t at = head.find("\r\n");
     const std::string line = head.substr(0, at);
     const size_t first = line.find(' ');
@@ -355,7 +355,7 @@
     Write(connection, fmt::format("HTTP/1.1 {} Health\r\n{}{}{}Content-Length: 0\r\n\r\n", status, id, cold, SignalLines(*target, status)));
 }
 
-static size_t LengthOf(const TargetSaw& request)
+static size_t LengthOf(const ReceivedRequest& request)
 {
     const std::string* length = FindHeader(request.Headers, "Content-Length");
     return length != nullptr ? std::strtoull(length->c_str(), nullptr, 10) : 0;
@@ -373,7 +373,7 @@
     {
         return false;
     }
-    TargetSaw request = ParseHead(*target, read.substr(0, end + 2));
+    ReceivedRequest request = ParseHead(*target, read.substr(0, end + 2));
     if (request.Path == "/health")
     {
         read.erase(0, end + 4);
@@ -481,7 +481,7 @@
     return true;
 }
 
-void UsersTargetHush(UsersTarget* target)
+void UsersTargetStopReading(UsersTarget* target)
 {
     for (const auto& entry : target->Connections)
     {
@@ -489,7 +489,7 @@
     }
 }
 
-void UsersTargetSilence(UsersTarget* target)
+void UsersTargetPowerOff(UsersTarget* target)
 {
     target->Accepting = nullptr;
     for (const auto& entry : target->Connections)
@@ -516,7 +516,7 @@
 
 int UsersTargetRuns(const UsersTarget& target, const std::string& id)
 {
-    const auto ran = [&](const TargetSaw& saw)
+    const auto ran = [&](const ReceivedRequest& saw)
     {
         return saw.Run && saw.Id == id;
     };
--- a/bench/users_target.h
+++ b/bench/users_target.h
@@ -19,29 +19,29 @@
 enum TargetAct_ : int
 {
     TargetAct_Good,
-    TargetAct_Failed,        // Runs it and answers with status 500, signed.
-    TargetAct_Shed,          // Does not run it; status 503 marked as not executed.
-    TargetAct_BareShed,      // Runs it; status 503, signed, not marked as not executed.
-    TargetAct_Reset,         // Runs it and resets the connection.
-    TargetAct_Close,         // Runs it and closes the connection without an answer.
-    TargetAct_Silence,       // Runs it and never answers.
-    TargetAct_Garbage,       // Sends bytes that are not HTTP.
-    TargetAct_CutShort,      // Content-Length is larger than the body; then closes the connection.
-    TargetAct_Unsigned,      // Status 200 without a signature.
-    TargetAct_Encoded,       // Status 200 with a Content-Encoding.
-    TargetAct_Surplus,       // A second answer directly after the complete one.
-    TargetAct_LateSurplus,   // A second answer some milliseconds after the complete one.
-    TargetAct_OtherId,       // The answer carries the id of another request.
-    TargetAct_NoLength,      // A good answer without Content-Length, ended by closing the connection.
-    TargetAct_NoLengthReset, // A good answer without Content-Length, ended by a reset.
-    TargetAct_Closing,       // A good answer with Connection: close, then closes the connection.
-    TargetAct_Trailers,      // A good chunked answer after an interim answer and with trailers; both carry a rate limit.
-    TargetAct_Early,         // Answers 400, signed, before it reads the body; the connection stays open.
+    TargetAct_Failed,         // Runs it and answers with status 500, signed.
+    TargetAct_Refuse,         // Does not run it; status 503 marked as not executed.
+    TargetAct_RefuseUnmarked, // Runs it; status 503, signed, not marked as not executed.
+    TargetAct_Reset,          // Runs it and resets the connection.
+    TargetAct_Close,          // Runs it and closes the connection without an answer.
+    TargetAct_Silence,        // Runs it and never answers.
+    TargetAct_Garbage,        // Sends bytes that are not HTTP.
+    TargetAct_CutShort,       // Content-Length is larger than the body; then closes the connection.
+    TargetAct_Unsigned,       // Status 200 without a signature.
+    TargetAct_Encoded,        // Status 200 with a Content-Encoding.
+    TargetAct_Surplus,        // A second answer directly after the complete one.
+    TargetAct_LateSurplus,    // A second answer some milliseconds after the complete one.
+    TargetAct_OtherId,        // The answer carries the id of another request.
+    TargetAct_NoLength,       // A good answer without Content-Length, ended by closing the connection.
+    TargetAct_NoLengthReset,  // A good answer without Content-Length, ended by a reset.
+    TargetAct_Closing,        // A good answer with Connection: close, then closes the connection.
+    TargetAct_Trailers,       // A good chunked answer after an interim answer and with trailers; both carry a rate limit.
+    TargetAct_Early,          // Answers 400, signed, before it reads the body; the connection stays open.
     TargetAct_COUNT,
 };
 
 // A request that the target received.
-struct TargetSaw
+struct ReceivedRequest
 {
     std::string Id;     // Request id.
     std::string Method; //
@@ -61,25 +61,25 @@
     EventLoop* Loop = nullptr;
     int Slots = 3;
     int Queue = 6;
-    TimeUs WorkUs = 5 * UsPerMs;       // Processing time of a request at a pace of 100 %.
-    WireNames Names = PlatformNames(); // Header names of the protocol.
-    int PacePercent = 100;             // Processing time in percent of WorkUs, for requests that start now; part of the load report.
-    int ColdMs = 0;                    // Remaining cold time in health answers; 0: left out.
-    bool Refuses = false;              // All requests are refused with status 503.
-    bool Ill = false;                  // Health checks get status 503.
-    bool Mute = false;                 // Health checks are read and never answered.
-    bool TellsLoad = true;             // Answers carry the load report.
-    std::vector<Header> Says;          // Additional headers of all answers, health answers included.
-    std::vector<Header> SaysRefusing;  // Additional headers of answers with status 503.
-    bool ResetsWhenFull = false;       // Resets the connection when full; else answers with status 503.
-    std::string EndsOn;                // Requests whose path has this prefix crash the target when their processing ends; empty: none.
-    bool EndsSilently = false;         // On such a crash, connections stay open and get no more answers.
-    std::string EndedBy;               // Path of the request that crashed it.
-    std::deque<TargetAct_> Script;     // Behaviour for the next requests that are not refused; TargetAct_Good when empty.
-    std::vector<TargetSaw> Saw;        // Every request except health checks.
-    std::vector<TimeUs> Arrivals;      // Arrival times of the entries of Saw.
-    std::vector<TimeUs> Refusals;      // Times of refusals with status 503.
-    int HealthAsked = 0;               // Health checks received.
+    TimeUs WorkUs = 5 * UsPerMs;        // Processing time of a request at a pace of 100 %.
+    WireNames Names = PlatformNames();  // Header names of the protocol.
+    int PacePercent = 100;              // Processing time in percent of WorkUs, for requests that start now; part of the load report.
+    int ColdMs = 0;                     // Remaining cold time in health answers; 0: left out.
+    bool Refuses = false;               // All requests are refused with status 503.
+    bool Ill = false;                   // Health checks get status 503.
+    bool Mute = false;                  // Health checks are read and never answered.
+    bool SendsLoad = true;              // Answers carry the load report.
+    std::vector<Header> Says;           // Additional headers of all answers, health answers included.
+    std::vector<Header> RefusalHeaders; // Additional headers of answers with status 503.
+    bool ResetsWhenFull = false;        // Resets the connection when full; else answers with status 503.
+    std::string CrashPrefix;            // Requests whose path has this prefix crash the target when their processing ends; empty: none.
+    bool CrashesSilently = false;       // On such a crash, connections stay open and get no more answers.
+    std::string EndedBy;                // Path of the request that crashed it.
+    std::deque<TargetAct_> Script;      // Behaviour for the next requests that are not refused; TargetAct_Good when empty.
+    std::vector<ReceivedRequest> Saw;   // Every request except health checks.
+    std::vector<TimeUs> Arrivals;       // Arrival times of the entries of Saw.
+    std::vector<TimeUs> Refusals;       // Times of refusals with status 503.
+    int HealthAsked = 0;                // Health checks received.
     int Running = 0;
     int Accepted = 0; // Accepted connections.
 
@@ -99,10 +99,10 @@
 bool UsersTargetStart(UsersTarget* target, EventLoop* loop, const std::string& id, const std::string& address);
 
 // Keeps the present connections open but never reads from them again; new connections work.
-void UsersTargetHush(UsersTarget* target);
+void UsersTargetStopReading(UsersTarget* target);
 
 // Simulates a power loss: sockets stay open, and nothing is read or answered.
-void UsersTargetSilence(UsersTarget* target);
+void UsersTargetPowerOff(UsersTarget* target);
 
 // Simulates a crash of the process: all sockets close.
 void UsersTargetStop(UsersTarget* target);
--- a/daemon/metrics.h
+++ b/daemon/metrics.h
@@ -45,7 +45,7 @@
     LatencyStats Latency;         // From the arrival of a request to its answer; answered requests only.
     std::vector<CodeCount> Ended; // By result code.
     uint64_t Retries = 0;         // Attempts after the first of a request.
-    uint64_t RepeatsRefused = 0;  // Retries that the budget did not allow.
+    uint64_t RetriesRefused = 0;  // Retries that the budget did not allow.
 };
 
 void CountEnded(RowMetrics* metrics, Code_ code);
--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -29,7 +29,7 @@
     }
     const RoutePlan plan = MakePlan(checked.Value);
     const Route* route = FindRoute(plan, "shop.example", "/loans/17?full=1");
-    std::printf("the request matches route %s; a GET %s be retried\n", route->Name.c_str(), MayRepeat(*route, "GET") ? "may" : "may not");
+    std::printf("the request matches route %s; a GET %s be retried\n", route->Name.c_str(), MayRetry(*route, "GET") ? "may" : "may not");
 
     // The directory holds the known targets, the pool their load.
     TimeUs now = 1000 * UsPerSecond;
@@ -45,7 +45,7 @@
         DirectoryPut(&directory, target, now);
     }
     TargetPool pool;
-    PoolFollow(&pool, DirectoryByService(directory)["loans"], "dc1", &random);
+    PoolSync(&pool, DirectoryByService(directory)["loans"], "dc1", &random);
 
     // Probe targets until one has a free slot. Here the first one reports that all its slots are in use.
     const PoolTarget* first = PoolNext(&pool, {}, false, now);
@@ -53,15 +53,15 @@
     PoolReport(PoolFind(&pool, full), *ParseLoadReport("3,1,3,100"), now);
     PoolTarget* second = PoolNext(&pool, {full}, false, now);
     PoolReport(second, *ParseLoadReport("0,0,3,100"), now);
-    std::printf("%s: %s, %s: %s\n", full.c_str(), PoolHasRoom(pool, *PoolFind(&pool, full)) ? "free slot" : "no free slot",
-                second->Id.c_str(), PoolHasRoom(pool, *second) ? "free slot" : "no free slot");
+    std::printf("%s: %s, %s: %s\n", full.c_str(), PoolHasFreeSlot(pool, *PoolFind(&pool, full)) ? "free slot" : "no free slot",
+                second->Id.c_str(), PoolHasFreeSlot(pool, *second) ? "free slot" : "no free slot");
     PoolSent(&pool, second);
 
     // The request fails. A GET may be retried at another target if the retry budget allows it.
     now += 20 * UsPerMs;
     PoolFailed(pool.Config, second, now);
-    RepeatBudget budget;
-    RepeatBudgetRequest(&budget, now);
-    std::printf("a retry is %s\n", RepeatBudgetTake(&budget, 1.0, now) ? "allowed" : "not allowed");
+    RetryBudget budget;
+    RetryBudgetCount(&budget, now);
+    std::printf("a retry is %s\n", RetryBudgetTake(&budget, 1.0, now) ? "allowed" : "not allowed");
     return 0;
 }
--- a/gateway/adapter.h
+++ b/gateway/adapter.h
@@ -12,17 +12,17 @@
 {
 
 // An update of one target.
-struct TargetNews
+struct TargetUpdate
 {
     DirectoryTarget Target; // If Gone, only id and revision are used.
     bool Gone = false;      // Its entry was removed.
 };
 
 // Operators started or ended the evacuation of a data centre.
-struct EvacuationNews
+struct EvacuationUpdate
 {
     std::string DataCentre;
-    Evacuation Word;
+    Evacuation NewState;
 };
 
 // An item that can't be parsed or applied. An invalid entry of a target removes the target; for other items the last valid value stays.
@@ -33,20 +33,20 @@
 };
 
 // The parsed items of the store.
-struct StoreNews
+struct StoreUpdates
 {
-    std::optional<RoutePlan> Plan;           // The new plan, if there is one.
-    std::vector<TargetNews> Targets;         // In the store's order.
-    std::vector<EvacuationNews> Evacuations; // In the store's order.
-    std::vector<InvalidItem> Invalid;        // Invalid items among the parsed ones.
-    bool InvalidIsAll = false;               // Invalid is the complete list, including items of earlier calls.
+    std::optional<RoutePlan> Plan;             // The new plan, if there is one.
+    std::vector<TargetUpdate> Targets;         // In the store's order.
+    std::vector<EvacuationUpdate> Evacuations; // In the store's order.
+    std::vector<InvalidItem> Invalid;          // Invalid items among the parsed ones.
+    bool InvalidIsComplete = false;            // Invalid is the complete list, including items of earlier calls.
 };
 
 // Items that were received together.
 struct StoreItems
 {
     std::vector<StoreItem> List;
-    uint64_t Revision = 0;         // Revision of the store.
+    uint64_t Revision = 0;   // Revision of the store.
     bool IsSnapshot = false; // List is a full snapshot; otherwise it holds the changes.
     TimeUs Now = 0;          // Current time, to convert remaining times to points in time.
 };
@@ -55,7 +55,7 @@
 {
     WireNames Names;
     StoreDialect Dialect;
-    std::function<StoreNews(const StoreItems& items)> Read;
+    std::function<StoreUpdates(const StoreItems& items)> Read;
 };
 
 } // namespace Winchlink
--- a/gateway/attempt.cpp
+++ b/gateway/attempt.cpp
@@ -84,7 +84,7 @@
     }
     else if (mean > 0)
     {
-        PoolLearnNearlyFull(&call->Service->Pool, usual / mean);
+        PoolUpdateNearlyFull(&call->Service->Pool, usual / mean);
     }
 }
 
@@ -125,7 +125,7 @@
     Forwarder* forwarder = call->Owner;
     if (FindTargetOf(*call, attempt) != nullptr && answer.End == ClientEnd_Answered && answer.Status == 421)
     {
-        DirectoryLeaves(&forwarder->Directory, attempt.Target);
+        DirectoryMarkReplaced(&forwarder->Directory, attempt.Target);
         ForwarderFollow(forwarder);
     }
     PoolTarget* target = FindTargetOf(*call, attempt);
@@ -143,7 +143,7 @@
     if (verdict == Verdict_Relay && answer.Status < 500)
     {
         LearnWorkTime(call.get(), attempt, answer.TookUs);
-        PoolGood(target);
+        PoolSucceeded(target);
     }
     else if (answer.End != ClientEnd_Withheld)
     {
@@ -180,14 +180,14 @@
 static bool TakeRetry(const CallPtr& call, double part)
 {
     const TimeUs now = NowUs();
-    const bool taken = RepeatBudgetTake(&call->Service->Retries, part, now);
+    const bool taken = RetryBudgetTake(&call->Service->Retries, part, now);
     if (taken)
     {
         call->RetryTakenUs = now;
     }
     else
     {
-        call->Service->Metrics.RepeatsRefused++;
+        call->Service->Metrics.RetriesRefused++;
         Log(LogLevel_Info, Code_None, "repeat refused by the budget",
             {{"requestId", call->Id},
              {"service", call->ServiceName},
@@ -326,7 +326,7 @@
     if (!WasSent(answer))
     {
         call->Attempts--;
-        QuotaReturn(&call->Owner->TargetLimits, call->LastAttempt.Grant.IncarnationId, call->LastAttempt.Grant.TakenUs);
+        QuotaRefund(&call->Owner->TargetLimits, call->LastAttempt.Grant.IncarnationId, call->LastAttempt.Grant.TakenUs);
     }
     call->MayHaveRun += verdict == Verdict_NotRun ? 0 : 1;
     if (verdict == Verdict_Relay && answer.Status < 500)
@@ -396,7 +396,7 @@
     };
     request.OnHeaders = [call, source = SignalSource{target.Id, target.Incarnation, false}](int status, const std::vector<Header>& headers)
     {
-        HearTarget(call->Owner, call->Service, source, status, headers);
+        ApplyTargetSignals(call->Owner, call->Service, source, status, headers);
     };
     return request;
 }
@@ -438,7 +438,7 @@
 {
     if (call->RetryTakenUs > 0)
     {
-        RepeatBudgetReturn(&call->Service->Retries, call->RetryTakenUs);
+        RetryBudgetRefund(&call->Service->Retries, call->RetryTakenUs);
         call->RetryTakenUs = 0;
     }
 }
@@ -454,7 +454,7 @@
 {
     for (const LimitGrant& grant : call->Grants)
     {
-        QuotaReturn(&call->Owner->TargetLimits, grant.IncarnationId, grant.TakenUs);
+        QuotaRefund(&call->Owner->TargetLimits, grant.IncarnationId, grant.TakenUs);
     }
     call->Grants.clear();
 }
--- a/gateway/call.h
+++ b/gateway/call.h
@@ -1,4 +1,5 @@
-// call.h: state of one caller's request, shared by the parts of the forwarder (forward.cpp, choose.cpp, attempt.cpp, held.cpp).
+// call.h: state of one caller's request, shared by the parts of the forwarder (forward.cpp, choose.cpp, attempt.cpp,
+// quarantined_calls.cpp).
 //
 // A Call is kept alive by the callbacks that refer to it. It ends exactly once, in EndCall(); events that arrive afterwards only update
 // statistics and the state of targets.
@@ -8,7 +9,7 @@
 // [SECTION] Ending a call (forward.cpp)
 // [SECTION] Choosing a target (choose.cpp)
 // [SECTION] Sending (attempt.cpp)
-// [SECTION] Requests that crash targets (held.cpp)
+// [SECTION] Requests that crash targets (quarantined_calls.cpp)
 
 #pragma once
 
@@ -21,27 +22,27 @@
 // [SECTION] Call
 //-----------------------------------------------------------------------------
 
-// A request counted against a target's rate limit, see QuotaTakeNamed().
+// A request counted against a target's rate limit, see QuotaTakeTarget().
 struct LimitGrant
 {
-    uint64_t IncarnationId = 0; // Id of the target's incarnation, see TargetLifeId(); 0 if the request is not counted.
-    TimeUs TakenUs = 0;  // Time at which it was counted.
+    uint64_t IncarnationId = 0; // Id of the target's incarnation, see TargetIncarnationId(); 0 if the request is not counted.
+    TimeUs TakenUs = 0;         // Time at which it was counted.
 };
 
 // One attempt: the request sent to one target.
 struct Attempt
 {
-    uint64_t Id = 0;         // Id returned by ClientSend().
-    std::string Target;      // Id of the target.
-    std::string Address;     // IP:port of the target.
-    uint64_t Incarnation = 0;       // Incarnation of the target.
-    uint64_t Entry = 0;      // Pool entry of the target, see PoolTarget::Entry.
-    TimeUs SentUs = 0;       // Start of the attempt.
-    LoadReport Report;       // Last known load of the target when it was chosen.
-    TimeUs ReportUs = 0;     // Time of that report; 0 if none.
-    bool NearlyFull = false; // The target was nearly full with this request.
-    double ExpectedUs = 0;   // Expected duration; 0 if unknown.
-    LimitGrant Grant;        // Its share of the target's rate limit.
+    uint64_t Id = 0;          // Id returned by ClientSend().
+    std::string Target;       // Id of the target.
+    std::string Address;      // IP:port of the target.
+    uint64_t Incarnation = 0; // Incarnation of the target.
+    uint64_t Entry = 0;       // Pool entry of the target, see PoolTarget::Entry.
+    TimeUs SentUs = 0;        // Start of the attempt.
+    LoadReport Report;        // Last known load of the target when it was chosen.
+    TimeUs ReportUs = 0;      // Time of that report; 0 if none.
+    bool NearlyFull = false;  // The target was nearly full with this request.
+    double ExpectedUs = 0;    // Expected duration; 0 if unknown.
+    LimitGrant Grant;         // Its share of the target's rate limit.
 };
 
 enum Choosing_ : int
@@ -62,18 +63,18 @@
     ServiceState* Service = nullptr; // Null until a service is chosen.
     RouteWork* Work = nullptr;
     std::string ServiceName;
-    std::string Id;               // Request id, from the caller or generated.
-    std::string Key;              // Identifies the request across the caller's tries, see CallKey(); empty until first used.
-    bool Retryable = false;       // The request may be run more than once.
+    std::string Id;                     // Request id, from the caller or generated.
+    std::string Key;                    // Identifies the request across the caller's tries, see CallKey(); empty until first used.
+    bool Retryable = false;             // The request may be run more than once.
     const Customer* KeyOwner = nullptr; // Customer whose key came with the request; null if there is none.
-    KeyHash CallerKeyHash = {};           // Hash of that key.
-    TimeUs QuotaTakenUs = 0;      // Time at which it was counted against its customer's quota; 0 if it was not.
-    TimeUs CallerDeadlineUs = 0;  // Deadline named by the caller; retry advice stays within it.
-    TimeUs DeadlineUs = 0;        // Deadline of this call: the earlier of the caller's deadline and the route's timeout.
-    TimeUs ChooseDeadlineUs = 0;  // End of the time for choosing a target.
+    KeyHash CallerKeyHash = {};         // Hash of that key.
+    TimeUs QuotaTakenUs = 0;            // Time at which it was counted against its customer's quota; 0 if it was not.
+    TimeUs CallerDeadlineUs = 0;        // Deadline named by the caller; retry advice stays within it.
+    TimeUs DeadlineUs = 0;              // Deadline of this call: the earlier of the caller's deadline and the route's timeout.
+    TimeUs ChooseDeadlineUs = 0;        // End of the time for choosing a target.
     Choosing_ Choosing = Choosing_None;
     std::vector<std::string> Probed;    // Targets considered in this round of choosing.
-    std::vector<std::string> SentTo;     // Targets to which the request was sent.
+    std::vector<std::string> SentTo;    // Targets to which the request was sent.
     std::vector<std::string> OverLimit; // Targets skipped in this round because they are at their rate limits.
     std::vector<LimitGrant> Grants;     // Taken for candidate targets; those not used are returned.
     int ProbesInFlight = 0;             // Probes that await an answer.
@@ -90,7 +91,7 @@
     bool Ended = false;                       // The caller was answered, or has gone.
     Timer DeadlineTimer;                      // Fires at DeadlineUs; before there is a plan, when FirstPlanUs ends.
     Timer SlowProbeTimer;                     // Fires when a probe is slow.
-    Timer ProbeRetryTimer;                              // Probes again after all targets were busy.
+    Timer ProbeRetryTimer;                    // Probes again after all targets were busy.
     Timer HedgeTimer;                         // Fires when the first attempt is slow, or when a hedge is to be tried again.
 };
 
@@ -163,7 +164,7 @@
 void CancelAttempts(const CallPtr& call);
 
 //-----------------------------------------------------------------------------
-// [SECTION] Requests that crash targets (held.cpp)
+// [SECTION] Requests that crash targets (quarantined_calls.cpp)
 //-----------------------------------------------------------------------------
 
 // Key that identifies the request across the caller's tries, see RequestKey(). Computed on first use.
--- a/gateway/caller_connection.cpp
+++ b/gateway/caller_connection.cpp
@@ -234,7 +234,7 @@
         connection->Output += "HTTP/1.1 100 Continue\r\n\r\n";
         connection->Reader.WantsContinue = false;
     }
-    if (state == ReadState_Whole)
+    if (state == ReadState_Complete)
     {
         AddRequest(listener, connection);
     }
@@ -242,7 +242,7 @@
     {
         AddRefusal(listener, connection);
     }
-    return state == ReadState_Whole || state == ReadState_Refused;
+    return state == ReadState_Complete || state == ReadState_Refused;
 }
 
 // Passes the latest request to the handler if it may start now. False if there is none to start.
--- a/gateway/choose.cpp
+++ b/gateway/choose.cpp
@@ -37,17 +37,17 @@
     if (answer.End == ClientEnd_Answered && answering_id != nullptr && *answering_id != id)
     {
         Log(LogLevel_Info, Code_None, "target replaced", {{"target", id}, {"address", target->Address}, {"now", *answering_id}});
-        DirectoryLeaves(&forwarder->Directory, id);
+        DirectoryMarkReplaced(&forwarder->Directory, id);
         ForwarderFollow(forwarder);
         return;
     }
     if (answer.End == ClientEnd_Answered)
     {
-        AskTimeAnswered(&service->ProbeTimeout);
+        ProbeTimeoutAnswered(&service->ProbeTimeout);
     }
     else if (answer.End == ClientEnd_TimedOut)
     {
-        AskTimeLate(&service->ProbeTimeout);
+        ProbeTimeoutExpired(&service->ProbeTimeout);
     }
     if (answer.End != ClientEnd_Answered || answer.Status != 200 || (answering_id == nullptr && !names.TargetId.empty()))
     {
@@ -59,7 +59,7 @@
     if (report)
     {
         PoolReport(target, *report, NowUs());
-        PoolLearnShare(&service->Pool, *report, service->InProgress);
+        PoolUpdateShare(&service->Pool, *report, service->InProgress);
     }
 }
 
@@ -88,7 +88,7 @@
         return grant.IncarnationId == target.IncarnationId;
     };
     Quota* limits = &call->Owner->TargetLimits;
-    if (QuotaNamed(*limits, target.IncarnationId) == nullptr || std::any_of(call->Grants.begin(), call->Grants.end(), holds))
+    if (QuotaTargetLimit(*limits, target.IncarnationId) == nullptr || std::any_of(call->Grants.begin(), call->Grants.end(), holds))
     {
         return true;
     }
@@ -96,7 +96,7 @@
     {
         return false;
     }
-    if (QuotaTakeNamed(limits, target.IncarnationId, now, call->Owner->Rng))
+    if (QuotaTakeTarget(limits, target.IncarnationId, now, call->Owner->Rng))
     {
         call->Grants.push_back({target.IncarnationId, now});
         return true;
@@ -110,7 +110,7 @@
 {
     const TargetPool& pool = call->Service->Pool;
     const bool room =
-        PoolMayUse(target, now) && PoolHasRoom(pool, target) && PoolMayTakeCold(pool, target, now) && MayConnect(*call, target);
+        PoolMayUse(target, now) && PoolHasFreeSlot(pool, target) && PoolMaySendCold(pool, target, now) && MayConnect(*call, target);
     return room && TakeLimit(call, target, now);
 }
 
@@ -211,8 +211,8 @@
     const bool in_time = best != nullptr && MeetsDeadline(*call, cost, now);
     const bool any = !call->Service->Pool.Targets.empty();
     const bool limited = AllLimited(*call, now);
-    const bool may_wait = any && !limited && call->Choosing == Choosing_First && now + config.AskAgainUs < call->ChooseDeadlineUs;
-    const bool settles = in_time && PoolSettles(call->Service->Pool, *best, now);
+    const bool may_wait = any && !limited && call->Choosing == Choosing_First && now + config.ProbeRetryUs < call->ChooseDeadlineUs;
+    const bool settles = in_time && PoolIsAcceptable(call->Service->Pool, *best, now);
     if (settles || (in_time && !may_wait))
     {
         SendTo(call, best);
@@ -220,7 +220,7 @@
     }
     if (may_wait)
     {
-        call->ProbeRetryTimer = TimerStart(call->Owner->Loop, config.AskAgainUs, [call]() { ProbeAgain(call); });
+        call->ProbeRetryTimer = TimerStart(call->Owner->Loop, config.ProbeRetryUs, [call]() { ProbeAgain(call); });
         call->Service->Waiting.push_back(call);
         return;
     }
@@ -264,11 +264,11 @@
 {
     Forwarder* forwarder = call.Owner;
     ServiceState* service = call.Service;
-    forwarder->AsksSent++;
+    forwarder->ProbesSent++;
     ClientRequest request;
     request.Address = target.Address;
     request.Target = call.Spec->HealthPath;
-    request.TimeoutUs = AskTimeNow(service->ProbeTimeout);
+    request.TimeoutUs = ProbeTimeoutNow(service->ProbeTimeout);
     const std::string id = target.Id;
     const std::string id_header = forwarder->Names.TargetId;
     // The late answer to a cancelled request may arrive on this connection instead; it lacks this header.
@@ -276,12 +276,13 @@
     {
         return id_header.empty() || FindHeader(headers, id_header) != nullptr;
     };
-    request.OnHeaders = [forwarder, service, source = SignalSource{id, target.Incarnation, true}](int status, const std::vector<Header>& headers)
+    request.OnHeaders =
+        [forwarder, service, source = SignalSource{id, target.Incarnation, true}](int status, const std::vector<Header>& headers)
     {
         const std::string* answering_id = FindHeader(headers, forwarder->Names.TargetId);
         if (answering_id == nullptr || *answering_id == source.Target) // Another target may have taken over the address.
         {
-            HearTarget(forwarder, service, source, status, headers);
+            ApplyTargetSignals(forwarder, service, source, status, headers);
         }
     };
     ClientSend(forwarder->Targets, std::move(request),
@@ -313,7 +314,7 @@
         SendProbe(*call, target);
         return;
     }
-    call->Owner->AsksShared++;
+    call->Owner->ProbesShared++;
 }
 
 // The best target that is not at its rate limit; null if there is none.
@@ -324,7 +325,7 @@
     {
         std::vector<std::string> passed = call->SentTo;
         passed.insert(passed.end(), call->OverLimit.begin(), call->OverLimit.end());
-        PoolTarget* target = PoolNextUnasked(&call->Service->Pool, passed, !call->Retryable, now, call->Owner->Rng);
+        PoolTarget* target = PoolNextUnprobed(&call->Service->Pool, passed, !call->Retryable, now, call->Owner->Rng);
         if (target == nullptr || TakeLimit(call, *target, now))
         {
             return target;
@@ -338,7 +339,7 @@
 {
     PoolTarget* target = NextUnprobed(call.get());
     const bool full = target != nullptr && target->InFlight >= call->Owner->Config.MaxUnprobedFactor * target->Slots;
-    const bool cold = target != nullptr && !PoolMayTakeCold(call->Service->Pool, *target, NowUs());
+    const bool cold = target != nullptr && !PoolMaySendCold(call->Service->Pool, *target, NowUs());
     if (target == nullptr || full || cold || !MayConnect(*call, *target))
     {
         const bool limited = !call->OverLimit.empty() || PoolBackoffEnds(call->Service->Pool, NowUs());
--- a/gateway/client.cpp
+++ b/gateway/client.cpp
@@ -45,7 +45,7 @@
     bool ClosedUnanswered = false; // The connection was closed without an answer, and libcurl's resend was prevented.
     bool Withheld = false;         // MaySend returned false.
     bool Mismatched = false;       // The answer belongs to another request.
-    bool TooLarge = false;         // The body is larger than AnswerMost.
+    bool TooLarge = false;         // The body is larger than MaxAnswerBytes.
     bool HeadRead = false;         // All headers of the final answer were received.
 };
 
@@ -59,7 +59,7 @@
     if (call->Sent)
     {
         call->ClosedUnanswered = true;
-        call->Owner->ReplaysStopped++;
+        call->Owner->ResendsPrevented++;
         return CURL_PREREQFUNC_ABORT;
     }
     if (call->Request.MaySend && !call->Request.MaySend())
@@ -122,7 +122,7 @@
 {
     auto* call = static_cast<ClientCall*>(user);
     const size_t length = size * count;
-    call->TooLarge = call->Answer.Body.size() + length > call->Request.AnswerMost;
+    call->TooLarge = call->Answer.Body.size() + length > call->Request.MaxAnswerBytes;
     if (call->TooLarge)
     {
         return 0;
@@ -153,7 +153,7 @@
         return;
     }
     Client* client = call->Owner;
-    client->SilencesSeen++;
+    client->DeadConnectionsSeen++;
     client->DeadSince[call->Request.Address] = NowUs();
     Log(LogLevel_Info, Code_None, "kept connection silent", {{"address", call->Request.Address}, {"tookUs", call->Answer.TookUs}});
 }
@@ -460,7 +460,7 @@
     return id;
 }
 
-ClientAnswer ClientAsk(Client* client, ClientRequest request)
+ClientAnswer ClientSendAndWait(Client* client, ClientRequest request)
 {
     const TimeUs limit = request.TimeoutUs + UsPerSecond; // The request's own timeout fires first.
     std::optional<ClientAnswer> got;
--- a/gateway/client.h
+++ b/gateway/client.h
@@ -16,17 +16,17 @@
 
 struct ClientRequest
 {
-    std::string Address;            // IP:port.
-    std::string Method = "GET";     // HTTP method, sent as it is.
-    std::string Target;             // Path and query, sent as they are.
-    std::vector<Header> Headers;    // Sent as they are.
-    std::string Body;               // Sent with Content-Length.
-    bool HasBody = false;           // Send Body even if it is empty.
-    TimeUs TimeoutUs = UsPerSecond; // From ClientSend() to the last byte of the answer.
-    TimeUs ConnectUs = 0;           // For the connection to be established; 0: TimeoutUs applies.
-    size_t AnswerMost = 16 * MiB;   // Largest answer body in bytes.
-    bool NewConnection = false;     // Don't reuse a connection.
-    std::function<bool()> MaySend;  // Called right before the request is sent; false withholds it. May be empty.
+    std::string Address;              // IP:port.
+    std::string Method = "GET";       // HTTP method, sent as it is.
+    std::string Target;               // Path and query, sent as they are.
+    std::vector<Header> Headers;      // Sent as they are.
+    std::string Body;                 // Sent with Content-Length.
+    bool HasBody = false;             // Send Body even if it is empty.
+    TimeUs TimeoutUs = UsPerSecond;   // From ClientSend() to the last byte of the answer.
+    TimeUs ConnectUs = 0;             // For the connection to be established; 0: TimeoutUs applies.
+    size_t MaxAnswerBytes = 16 * MiB; // Largest answer body in bytes.
+    bool NewConnection = false;       // Don't reuse a connection.
+    std::function<bool()> MaySend;    // Called right before the request is sent; false withholds it. May be empty.
 
     // Returns false if these headers belong to the answer of another request. May be empty.
     std::function<bool(const std::vector<Header>&)> AcceptsHeaders;
@@ -71,11 +71,11 @@
     std::map<curl_socket_t, Watch> Sockets;                // Sockets watched for libcurl.
     std::map<uint64_t, std::unique_ptr<ClientCall>> Calls; // In flight, by id.
     std::vector<CURL*> IdleHandles;                        // Easy handles for reuse.
-    std::map<std::string, TimeUs> DeadSince;                  // By address: when a request last timed out on a reused connection.
+    std::map<std::string, TimeUs> DeadSince;               // By address: when a request last timed out on a reused connection.
     uint64_t LastId = 0;                                   // Id of the latest call.
     uint64_t ConnectionsOpened = 0;                        // Counter.
-    uint64_t ReplaysStopped = 0;                           // Counter: resends by libcurl that were prevented.
-    uint64_t SilencesSeen = 0;                             // Counter: requests that timed out on a reused connection.
+    uint64_t ResendsPrevented = 0;                         // Counter: resends by libcurl that were prevented.
+    uint64_t DeadConnectionsSeen = 0;                      // Counter: requests that timed out on a reused connection.
 
     Client();
     ~Client();
@@ -89,7 +89,7 @@
 uint64_t ClientSend(Client* client, ClientRequest request, ClientDone done);
 
 // Sends a request and runs the event loop until it has ended. For commands and tools.
-ClientAnswer ClientAsk(Client* client, ClientRequest request);
+ClientAnswer ClientSendAndWait(Client* client, ClientRequest request);
 
 // Cancels a request; `done` is not called. Closes its connection, so that the server can stop the work. Ids of requests that have ended are
 // ignored.
--- a/gateway/target_ends.cpp
+++ b/gateway/crash_reports.cpp
@@ -1,11 +1,11 @@
-// target_ends.cpp: exchange between instances of which requests have crashed targets.
+// crash_reports.cpp: exchange between instances of which requests have crashed targets.
 //
 // Index of this file:
 // [SECTION] Messages
 // [SECTION] Sending updates
 // [SECTION] Receiving updates
 
-#include "target_ends.h"
+#include "crash_reports.h"
 
 #include "clock.h"
 #include "log.h"
@@ -21,17 +21,17 @@
 // [SECTION] Messages
 //-----------------------------------------------------------------------------
 
-template <class Archive> void serialize(Archive& archive, TargetEndNews& news)
+template <class Archive> void serialize(Archive& archive, TargetCrashUpdate& news)
 {
     archive(news.Request, news.Target, news.AgeUs, news.Cleared);
 }
 
-template <class Archive> void serialize(Archive& archive, TargetEndsMessage& message)
+template <class Archive> void serialize(Archive& archive, CrashReportsMessage& message)
 {
     archive(message.Digest, message.Updates);
 }
 
-std::string EncodeTargetEnds(const TargetEndsMessage& message)
+std::string EncodeCrashReports(const CrashReportsMessage& message)
 {
     const std::string coded = EncodeMessage(message);
     std::string out;
@@ -39,9 +39,9 @@
     return out + coded;
 }
 
-Result<TargetEndsMessage> DecodeTargetEnds(const std::string& bytes)
+Result<CrashReportsMessage> DecodeCrashReports(const std::string& bytes)
 {
-    TargetEndsMessage message;
+    CrashReportsMessage message;
     const std::string coded = bytes.substr(std::min(bytes.size(), NumberBytes));
     const bool whole = bytes.size() > NumberBytes && Checksum(coded) == NumberAt(bytes, 0);
     if (!whole || !DecodeMessage(coded, &message))
@@ -51,20 +51,20 @@
     return message;
 }
 
-static std::string EncodeAll(const TargetEnds& ends)
+static std::string EncodeAll(const CrashReports& ends)
 {
-    return EncodeTargetEnds({ends.Known->Digest, QuarantineTell(*ends.Known, NowUs())});
+    return EncodeCrashReports({ends.Known->Digest, QuarantineExport(*ends.Known, NowUs())});
 }
 
 //-----------------------------------------------------------------------------
 // [SECTION] Sending updates
 //-----------------------------------------------------------------------------
 
-static void NotifyFollowers(TargetEnds* ends)
+static void NotifyFollowers(CrashReports* ends)
 {
     ends->NotifyTimer = nullptr;
     ends->NotifiedUs = NowUs();
-    ends->OnTell();
+    ends->OnNotify();
 }
 
 // Purpose of a call.
@@ -74,14 +74,14 @@
     EndsCall_Compare, // Sends only the digest, to compare.
 };
 
-static void OnCalled(TargetEnds* ends, EndsCall_ kind, const ClientAnswer& answer);
+static void OnCalled(CrashReports* ends, EndsCall_ kind, const ClientAnswer& answer);
 
-static void SendCall(TargetEnds* ends, EndsCall_ kind, const std::string& address, const std::string& message)
+static void SendCall(CrashReports* ends, EndsCall_ kind, const std::string& address, const std::string& message)
 {
     ClientRequest request;
     request.Address = address;
     request.Method = "POST";
-    request.Target = TargetEndsTarget;
+    request.Target = TargetCrashesPath;
     request.HasBody = true;
     request.Body = message;
     request.TimeoutUs = ends->TimeoutUs;
@@ -91,7 +91,7 @@
     ClientSend(ends->Calls, std::move(request), [ends, kind](const ClientAnswer& answer) { OnCalled(ends, kind, answer); });
 }
 
-static void PushToPeers(TargetEnds* ends)
+static void PushToPeers(CrashReports* ends)
 {
     ends->PushTimer = nullptr;
     ends->PushedUs = NowUs();
@@ -102,7 +102,7 @@
     }
 }
 
-static void PushSoon(TargetEnds* ends)
+static void PushSoon(CrashReports* ends)
 {
     if (ends->InProgress > 0)
     {
@@ -116,7 +116,7 @@
     }
 }
 
-static void NotifySoon(TargetEnds* ends)
+static void NotifySoon(CrashReports* ends)
 {
     if (!ends->NotifyTimer)
     {
@@ -130,9 +130,9 @@
 //-----------------------------------------------------------------------------
 
 // Adds another instance's entries and notifies the followers of new ones. Returns true if there were any.
-static bool Merge(TargetEnds* ends, const TargetEndsMessage& message)
+static bool Merge(CrashReports* ends, const CrashReportsMessage& message)
 {
-    const bool changed = QuarantineTake(ends->Known, message.Updates, NowUs());
+    const bool changed = QuarantineMerge(ends->Known, message.Updates, NowUs());
     if (changed)
     {
         NotifySoon(ends);
@@ -140,9 +140,9 @@
     return changed;
 }
 
-static Result<TargetEndsMessage> DecodeOrLog(const std::string& bytes)
+static Result<CrashReportsMessage> DecodeOrLog(const std::string& bytes)
 {
-    Result<TargetEndsMessage> message = DecodeTargetEnds(bytes);
+    Result<CrashReportsMessage> message = DecodeCrashReports(bytes);
     if (!message)
     {
         Log(LogLevel_Warn, message.error().Code, "ends of targets can't be read", {{"bytes", static_cast<uint64_t>(bytes.size())}});
@@ -151,9 +151,9 @@
 }
 
 // Handles the answer to a call. If digests still differ after a comparison, the other instance lacks entries: a push follows.
-static void MergeAnswer(TargetEnds* ends, EndsCall_ kind, const std::string& bytes)
+static void MergeAnswer(CrashReports* ends, EndsCall_ kind, const std::string& bytes)
 {
-    const Result<TargetEndsMessage> message = DecodeOrLog(bytes);
+    const Result<CrashReportsMessage> message = DecodeOrLog(bytes);
     if (!message)
     {
         return;
@@ -163,7 +163,7 @@
     ends->PushWanted = ends->PushWanted || (differs && kind == EndsCall_Compare);
 }
 
-static void OnCalled(TargetEnds* ends, EndsCall_ kind, const ClientAnswer& answer)
+static void OnCalled(CrashReports* ends, EndsCall_ kind, const ClientAnswer& answer)
 {
     ends->InProgress--;
     const bool good = answer.End == ClientEnd_Answered && answer.Status == 200;
@@ -181,13 +181,13 @@
     }
 }
 
-void TargetEndsChanged(TargetEnds* ends)
+void CrashReportsChanged(CrashReports* ends)
 {
     NotifySoon(ends);
     PushSoon(ends);
 }
 
-void TargetEndsHeard(TargetEnds* ends, uint64_t digest)
+void CrashReportsSourceAnswered(CrashReports* ends, uint64_t digest)
 {
     if (digest != ends->Known->Digest)
     {
@@ -195,22 +195,22 @@
     }
 }
 
-void TargetEndsCompare(TargetEnds* ends)
+void CrashReportsCompare(CrashReports* ends)
 {
     if (ends->Known->Digest == 0 || ends->InProgress > 0 || ends->PushTimer)
     {
         return;
     }
-    const std::string digest_only = EncodeTargetEnds({ends->Known->Digest, {}});
+    const std::string digest_only = EncodeCrashReports({ends->Known->Digest, {}});
     for (const std::string& address : ends->Peers())
     {
         SendCall(ends, EndsCall_Compare, address, digest_only);
     }
 }
 
-std::string TargetEndsTold(TargetEnds* ends, const std::string& bytes)
+std::string CrashReportsReceived(CrashReports* ends, const std::string& bytes)
 {
-    const Result<TargetEndsMessage> message = DecodeOrLog(bytes);
+    const Result<CrashReportsMessage> message = DecodeOrLog(bytes);
     if (!message)
     {
         return "";
--- a/gateway/forward.cpp
+++ b/gateway/forward.cpp
@@ -32,7 +32,7 @@
     metrics.Retries += static_cast<uint64_t>(std::max(call.Attempts - 1, 0));
     if (code == Code_None)
     {
-        ReturnScheduleServed(&call.Service->RetryTimes, NowUs());
+        RetryScheduleServed(&call.Service->RetryTimes, NowUs());
         LatencyAdd(&metrics.Latency, NowUs() - call.Inbound->ArrivedUs);
         LatencyAdd(&call.Owner->ByPriority[PriorityOf(call)], NowUs() - call.Inbound->ArrivedUs);
     }
@@ -84,7 +84,7 @@
     }
     if (call->QuotaTakenUs > 0 && call->MayHaveRun == 0)
     {
-        QuotaReturn(&call->Owner->Quotas, call->KeyOwner->Id, call->QuotaTakenUs);
+        QuotaRefund(&call->Owner->Quotas, call->KeyOwner->Id, call->QuotaTakenUs);
     }
     CountCall(*call, code);
     LogEnd(*call, code, reply.Status, detail);
@@ -126,7 +126,7 @@
     for (const std::string& id : call.OverLimit)
     {
         const PoolTarget* target = PoolFind(&call.Service->Pool, id);
-        const TimeUs turn = target != nullptr ? QuotaNamedTurn(call.Owner->TargetLimits, target->IncarnationId) : 0;
+        const TimeUs turn = target != nullptr ? QuotaTargetInterval(call.Owner->TargetLimits, target->IncarnationId) : 0;
         per_us += turn > 0 ? 1.0 / static_cast<double>(turn) : 0;
     }
     return per_us > 0 ? static_cast<TimeUs>(1.0 / per_us) : 0;
@@ -144,7 +144,7 @@
     const TimeUs now = NowUs();
     const auto left = static_cast<double>(std::max<TimeUs>(call->CallerDeadlineUs - now, 0));
     const auto max_wait = static_cast<TimeUs>(call->Owner->Config.MaxRetryAfterShare * left);
-    const TimeUs return_wait = ReturnScheduleTake(&call->Service->RetryTimes, now, call->Owner->Rng);
+    const TimeUs return_wait = RetryScheduleTake(&call->Service->RetryTimes, now, call->Owner->Rng);
     EndCallWith(call, code, detail, std::min(return_wait + TargetWaitUs(*call, code, now), max_wait));
 }
 
@@ -210,7 +210,7 @@
     {
         return true;
     }
-    if (key && forwarder->Directory.InTrouble)
+    if (key && forwarder->Directory.StoreUnavailable)
     {
         // The key may be newer than this instance's plan. The caller should retry, as another instance may know it.
         EndCallWith(call, Code_KeyNotLearnt, "", forwarder->Config.EmptyRetryUs);
@@ -237,7 +237,7 @@
         return true;
     }
     counters->Refused++;
-    EndCallWith(call, Code_QuotaUsedUp, call->KeyOwner->Name, QuotaReturnTime(forwarder->Quotas, call->KeyOwner->Id, forwarder->Rng));
+    EndCallWith(call, Code_QuotaUsedUp, call->KeyOwner->Name, QuotaRetryDelay(forwarder->Quotas, call->KeyOwner->Id, forwarder->Rng));
     return false;
 }
 
@@ -293,7 +293,7 @@
     call->Service->InProgress++;
     call->Work = &forwarder->Work[call->MatchedRoute->Name];
     SetDeadline(call, *asked);
-    RepeatBudgetRequest(&call->Service->Retries, NowUs());
+    RetryBudgetCount(&call->Service->Retries, NowUs());
     if (call->Spec == nullptr)
     {
         EndCallWith(call, Code_NoTargetLeft, "service not in plan", forwarder->Config.EmptyRetryUs);
@@ -318,7 +318,7 @@
 bool ForwardMayOverlap(const Forwarder& forwarder, const Exchange& exchange)
 {
     const Route* row = forwarder.Plan ? FindRoute(*forwarder.Plan, HeaderOr(exchange, "Host", ""), exchange.Target) : nullptr;
-    return row != nullptr && MayRepeat(*row, exchange.Method);
+    return row != nullptr && MayRetry(*row, exchange.Method);
 }
 
 static void MatchRoute(const CallPtr& call)
@@ -329,7 +329,7 @@
         EndCallWith(call, Code_NoRoute, call->Inbound->Target);
         return;
     }
-    call->Retryable = MayRepeat(*call->MatchedRoute, call->Inbound->Method);
+    call->Retryable = MayRetry(*call->MatchedRoute, call->Inbound->Method);
     if (!call->Plan->Callers.KeyRequired || IdentifyCustomer(call))
     {
         AdmitCall(call);
@@ -352,9 +352,9 @@
     }
     call->DeadlineTimer = TimerStart(forwarder->Loop, left, refuse);
     forwarder->Unplanned.push_back(call);
-    if (forwarder->OnNeeded && forwarder->Unplanned.size() % forwarder->Config.NeedyCallers == 0)
+    if (forwarder->OnPlanNeeded && forwarder->Unplanned.size() % forwarder->Config.PlanWaitersPerStoreCall == 0)
     {
-        forwarder->OnNeeded();
+        forwarder->OnPlanNeeded();
     }
 }
 
@@ -439,7 +439,7 @@
         const auto state = forwarder->Services.find(service);
         if (state != forwarder->Services.end())
         {
-            PoolFollow(&state->second.Pool, listed, forwarder->DataCentre, forwarder->Rng);
+            PoolSync(&state->second.Pool, listed, forwarder->DataCentre, forwarder->Rng);
             state->second.FollowedFrom = forwarder->DataCentre;
         }
     }
--- a/gateway/forward.h
+++ b/gateway/forward.h
@@ -23,21 +23,21 @@
     TimeUs SlowProbeUs = 5 * UsPerMs;       // A probe that takes longer is slow: another target is probed beside it.
     int MaxProbes = 8;                      // Probes for one attempt.
     size_t MaxOverLimit = 64;               // Targets at their rate limits that are skipped for one attempt: bounds the time spent on them.
-    TimeUs ReportReuseUs = 8 * UsPerMs;           // A target with a younger report is not probed again.
-    TimeUs AskAgainUs = 20 * UsPerMs;       // All targets busy: delay before probing again.
+    TimeUs ReportReuseUs = 8 * UsPerMs;     // A target with a younger report is not probed again.
+    TimeUs ProbeRetryUs = 20 * UsPerMs;     // All targets busy: delay before probing again.
     double MaxChooseShare = 0.2;            // Part of a route's latency objective that choosing a target may take.
     int MaxUnprobedFactor = 2;              // Where targets report no load: bounds own requests at one target, as a multiple of its slots.
     TimeUs ConnectUs = 250 * UsPerMs;       // Timeout for connecting to a target.
     double MaxRetryAfterShare = 0.5;        // Upper bound of Retry-After, as a part of the caller's remaining time.
     TimeUs UnhealthyRetryUs = 50 * UsPerMs; // Retry-After where a target refused although it had free slots.
     TimeUs FirstPlanUs = 600 * UsPerMs;     // After a start, requests wait so long for the first plan.
-    size_t NeedyCallers = 6;                // Forwarder::OnNeeded is called each time so many more requests wait for the first plan.
+    size_t PlanWaitersPerStoreCall = 6;     // Forwarder::OnPlanNeeded is called each time so many more requests wait for the first plan.
     TimeUs EmptyRetryUs = 500 * UsPerMs;    // Retry-After where there is no target or no plan yet.
     double SlowFactor = 1.7;                // An attempt that takes so many times as long as expected is slow.
     double HedgeShare = 0.4;                // Part of the retry budget that hedged requests may use.
     TimeUs HedgeRetryUs = 50 * UsPerMs;     // No target found for a hedge: delay before trying again.
-    double RetryShare = 0.2;               // See RepeatBudget.
-    TimeUs RetryWindowUs = 10 * UsPerSecond; // See RepeatBudget.
+    double RetryShare = 0.2;                // See RetryBudget.
+    TimeUs RetryWindowUs = 10 * UsPerSecond; // See RetryBudget.
 };
 
 struct Call;
@@ -45,20 +45,20 @@
 // Counters of signals in the answers of a service's targets.
 struct SignalCounters
 {
-    uint64_t Limits = 0;     // Rate limits.
-    uint64_t Backoffs = 0;   // Requests for backoff.
-    uint64_t Draining = 0;    // Notices that they are draining.
-    uint64_t Invalid = 0; // Invalid values.
-    uint64_t OverLimit = 0;  // Targets skipped because they were at their rate limits.
+    uint64_t Limits = 0;    // Rate limits.
+    uint64_t Backoffs = 0;  // Requests for backoff.
+    uint64_t Draining = 0;  // Notices that they are draining.
+    uint64_t Invalid = 0;   // Invalid values.
+    uint64_t OverLimit = 0; // Targets skipped because they were at their rate limits.
 };
 
 // State of one service in this instance.
 struct ServiceState
 {
     TargetPool Pool;
-    RepeatBudget Retries;
-    AskTime ProbeTimeout;                             // Timeout of probes, adapted to the targets' response times.
-    ReturnSchedule RetryTimes;                   // Computes Retry-After for callers refused because targets were busy.
+    RetryBudget Retries;
+    AdaptiveProbeTimeout ProbeTimeout;        // Timeout of probes, adapted to the targets' response times.
+    RetrySchedule RetryTimes;                 // Computes Retry-After for callers refused because targets were busy.
     std::vector<std::weak_ptr<Call>> Waiting; // Requests that found all targets busy and will probe again.
     // Probes in flight, by target id: the requests that await the answer.
     std::map<std::string, std::vector<std::shared_ptr<Call>>> Probes;
@@ -85,27 +85,27 @@
     RoutePlanPtr Plan;                            // Null until the first plan.
     TimeUs StartedUs = 0;                         // Time at which this instance began to accept requests.
     std::vector<std::shared_ptr<Call>> Unplanned; // Requests that wait for the first plan.
-    std::function<void()> OnNeeded;               // Called each time NeedyCallers more of them wait; may be empty.
+    std::function<void()> OnPlanNeeded;           // Called each time PlanWaitersPerStoreCall more of them wait; may be empty.
     TargetDirectory Directory;
-    Timer FollowTimer;                              // Calls ForwarderFollow() once the current event has been handled.
+    Timer FollowTimer;                            // Calls ForwarderFollow() once the current event has been handled.
     Quota Quotas;                                 // Customers' quotas.
     Quota TargetLimits;                           // Rate limits set by targets.
-    std::function<void()> OnLimit;                // Called after each change of TargetLimits; may be empty.
-    Quarantine Quarantined;                              // Requests that crash targets.
-    SilentEnds Unanswered;                            // Attempts that ended without an answer: a crash of their target may be detected later.
-    std::function<void()> OnTargetEnd;            // Called when this instance itself has changed the quarantine; may be empty.
+    std::function<void()> OnTargetLimitChanged;   // Called after each change of TargetLimits; may be empty.
+    Quarantine Quarantined;                       // Requests that crash targets.
+    SilentCrashes Unanswered;                     // Attempts that ended without an answer: a crash of their target may be detected later.
+    std::function<void()> OnQuarantineChanged;    // Called when this instance itself has changed the quarantine; may be empty.
     std::map<std::string, ServiceState> Services; // By name. Never erased: requests keep pointers to them.
     RowMetrics Unrouted;                          // Metrics of requests that were assigned to no service.
     std::map<int, LatencyStats> ByPriority;       // Latency of answers, by the priority of the customer or the route.
     CustomersMetrics ByCustomer;                  // Metrics of customers with a quota.
     std::map<std::string, RouteSplit> Splits;     // By route name.
     std::map<std::string, RouteWork> Work;        // By route name.
-    bool Draining = false;                         // This instance is draining: callers' connections are closed after the answer.
+    bool Draining = false;                        // This instance is draining: callers' connections are closed after the answer.
     int InProgress = 0;                           // Requests not answered yet.
     std::string IdPrefix;                         // Prefix of ids for requests that come without one.
     uint64_t LastId = 0;                          // Number of the last generated id.
-    uint64_t AsksSent = 0;                        // Counter: probes sent.
-    uint64_t AsksShared = 0;                      // Counter: requests that shared a probe in flight.
+    uint64_t ProbesSent = 0;                      // Counter: probes sent.
+    uint64_t ProbesShared = 0;                    // Counter: requests that shared a probe in flight.
 };
 
 // Updates the services' pools from the plan and the directory. Only pools whose targets have changed are updated.
--- a/gateway/gateway.cpp
+++ b/gateway/gateway.cpp
@@ -50,41 +50,41 @@
 
 static void OnStoreTrouble(Gateway* gateway, const std::string& why, TimeUs tried)
 {
-    if (!gateway->Requests.Directory.InTrouble)
+    if (!gateway->Requests.Directory.StoreUnavailable)
     {
         Log(LogLevel_Warn, Code_PlatformUnreachable, "store lost", {{"detail", why}, {"revision", gateway->Store.Following.Revision}});
     }
-    DirectoryTrouble(&gateway->Requests.Directory, NowUs());
-    RelaySetLost(&gateway->Peers, NowUs() - tried);
-    RelayAnswerLeads(&gateway->Peers);
+    DirectoryStoreFailed(&gateway->Requests.Directory, NowUs());
+    RelaySetStoreLost(&gateway->Peers, NowUs() - tried);
+    RelayAnswerDelegated(&gateway->Peers);
 }
 
 static void OnStoreAnswered(Gateway* gateway, bool changed)
 {
-    if (gateway->Requests.Directory.InTrouble)
+    if (gateway->Requests.Directory.StoreUnavailable)
     {
         Log(LogLevel_Info, Code_None, "store regained",
             {{"revision", gateway->Store.Following.Revision}, {"origin", gateway->Store.Following.Origin}});
     }
-    DirectoryAnswered(&gateway->Requests.Directory, NowUs());
-    RelaySetFound(&gateway->Peers);
-    RelayAnswerLeads(&gateway->Peers);
+    DirectoryStoreAnswered(&gateway->Requests.Directory, NowUs());
+    RelaySetStoreAvailable(&gateway->Peers);
+    RelayAnswerDelegated(&gateway->Peers);
     if (!changed)
     {
-        RelayBeat(&gateway->Peers);
+        RelayHeartbeat(&gateway->Peers);
     }
 }
 
 static void OnStoreAll(Gateway* gateway, const StorePage& all, uint64_t at)
 {
     RelaySetAll(&gateway->Peers, all, at);
-    ReadSoon(gateway, {all.Items, at, true});
+    ApplySoon(gateway, {all.Items, at, true});
 }
 
 static void OnStoreChanges(Gateway* gateway, const std::vector<StoreItem>& items, uint64_t at)
 {
     RelayAddChanges(&gateway->Peers, items, at);
-    ReadSoon(gateway, {items, at, false});
+    ApplySoon(gateway, {items, at, false});
 }
 
 static void StartStore(Gateway* gateway)
@@ -115,17 +115,17 @@
     {
         return store.Following.Origin;
     };
-    peers.OnLead = [&store]()
+    peers.OnAskStore = [&store]()
     {
         StoreReaderAskStore(&store);
     };
-    peers.OnMet = [&store](const std::string& address)
+    peers.OnInstanceSeen = [&store](const std::string& address)
     {
-        FollowMet(&store.Following, address);
+        FollowAddInstance(&store.Following, address);
     };
-    gateway->Requests.OnNeeded = [&store]()
+    gateway->Requests.OnPlanNeeded = [&store]()
     {
-        StoreReaderNeeded(&store);
+        StoreReaderCallersWaiting(&store);
     };
     StoreReaderStart(&store, gateway->Loop, &gateway->Control, &gateway->Rng);
 }
@@ -141,7 +141,7 @@
 
 static void StartCrashExchange(Gateway* gateway)
 {
-    TargetEnds& crashes = gateway->Crashes;
+    CrashReports& crashes = gateway->Crashes;
     crashes.Loop = gateway->Loop;
     crashes.Calls = &gateway->Control;
     crashes.Known = &gateway->Requests.Quarantined;
@@ -150,25 +150,25 @@
         const Follow& following = gateway->Store.Following;
         return ReadsStore(*gateway) ? following.OtherSeeds : std::vector<std::string>{following.Next.Address};
     };
-    crashes.OnTell = [gateway]()
+    crashes.OnNotify = [gateway]()
     {
-        RelayTell(&gateway->Peers);
+        RelayAnswerAll(&gateway->Peers);
     };
-    gateway->Requests.OnTargetEnd = [&crashes]()
+    gateway->Requests.OnQuarantineChanged = [&crashes]()
     {
-        TargetEndsChanged(&crashes);
+        CrashReportsChanged(&crashes);
     };
-    gateway->Store.OnEndsDigest = [&crashes](uint64_t digest)
+    gateway->Store.OnQuarantineDigest = [&crashes](uint64_t digest)
     {
-        TargetEndsHeard(&crashes, digest);
+        CrashReportsSourceAnswered(&crashes, digest);
     };
-    gateway->Peers.EndsDigest = [&crashes]()
+    gateway->Peers.QuarantineDigest = [&crashes]()
     {
         return crashes.Known->Digest;
     };
-    gateway->Peers.OnEnds = [&crashes](const std::string& bytes)
+    gateway->Peers.OnTargetCrashes = [&crashes](const std::string& bytes)
     {
-        return TargetEndsTold(&crashes, bytes);
+        return CrashReportsReceived(&crashes, bytes);
     };
 }
 
@@ -180,7 +180,7 @@
 static std::string SourceInstance(const Gateway& gateway)
 {
     const FollowStep& step = gateway.Store.Following.Next;
-    const bool instance = step.Kind == SourceKind_Contact || step.Kind == SourceKind_Instance;
+    const bool instance = step.Kind == SourceKind_Seed || step.Kind == SourceKind_Instance;
     return instance ? step.Address : "";
 }
 
@@ -214,7 +214,7 @@
     };
     const auto decide = [limits](TimeUs now)
     {
-        return QuotaDecideNamed(limits, now);
+        return QuotaDecideTargets(limits, now);
     };
     return {limits, wanted, decide, nullptr};
 }
@@ -243,9 +243,9 @@
     {
         return RelayFollowers(gateway->Peers);
     };
-    gateway->Requests.OnLimit = [&link]()
+    gateway->Requests.OnTargetLimitChanged = [&link]()
     {
-        QuotaLinkFollow(&link);
+        QuotaLinkUpdate(&link);
     };
     return QuotaLinkStart(&link);
 }
@@ -262,11 +262,11 @@
 static void Lift(Gateway* gateway, const ExchangePtr& exchange)
 {
     const std::string key = QueryValue(exchange->Target, "request");
-    const bool lifted = QuarantineAnswered(&gateway->Requests.Quarantined, key);
+    const bool lifted = QuarantineClear(&gateway->Requests.Quarantined, key);
     Log(LogLevel_Warn, Code_None, "request lifted", {{"request", key}, {"wasHeld", lifted ? 1 : 0}});
     if (lifted)
     {
-        TargetEndsChanged(&gateway->Crashes);
+        CrashReportsChanged(&gateway->Crashes);
     }
     Reply(exchange, CallerReply{200, {{"Content-Type", "text/plain"}}, lifted ? LiftedText : NotHeldText, false});
 }
@@ -413,11 +413,11 @@
 static void Tick(Gateway* gateway)
 {
     CheckSettingsFile(gateway);
-    QuarantineForget(&gateway->Requests.Quarantined, NowUs());
-    SilentForget(&gateway->Requests.Unanswered, NowUs());
+    QuarantineExpire(&gateway->Requests.Quarantined, NowUs());
+    SilentCrashesExpire(&gateway->Requests.Unanswered, NowUs());
     if (ReadsStore(*gateway))
     {
-        TargetEndsCompare(&gateway->Crashes);
+        CrashReportsCompare(&gateway->Crashes);
     }
     gateway->TickTimer = TimerStart(gateway->Loop, TickUs, [gateway]() { Tick(gateway); });
 }
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -5,11 +5,11 @@
 #pragma once
 
 #include "adapter.h"
+#include "crash_reports.h"
 #include "forward.h"
 #include "quota_link.h"
 #include "relay.h"
 #include "settings.h"
-#include "target_ends.h"
 
 namespace Winchlink
 {
@@ -34,7 +34,7 @@
 struct StoreBatch
 {
     std::vector<StoreItem> Items;
-    uint64_t Revision = 0;         // Revision.
+    uint64_t Revision = 0;   // Revision.
     bool IsSnapshot = false; // Items is a full snapshot; otherwise it holds the changes.
 };
 
@@ -51,16 +51,16 @@
     StoreReader Store;
     Relay Peers;
     Forwarder Requests;
-    TargetEnds Crashes;  // Exchange with other instances about requests that crash targets.
-    QuotaLink Quotas; // Exchange with other instances about quotas of customers and limits of targets.
+    CrashReports Crashes; // Exchange with other instances about requests that crash targets.
+    QuotaLink Quotas;     // Exchange with other instances about quotas of customers and limits of targets.
     Listener Callers;
     Listener Readiness;
     Listener Metrics;
     std::vector<SignalWatch> Signals;
     Timer TickTimer;                            // Next periodic work, such as the check of the settings file.
-    std::vector<StoreBatch> PendingBatches;             // Batches sent to followers and not applied here yet, in order.
-    Timer ApplyTimer;                              // Applies the batches in Unread.
-    Timer ForgetTimer;                           // Removes the next missing target whose retention is over.
+    std::vector<StoreBatch> PendingBatches;     // Batches sent to followers and not applied here yet, in order.
+    Timer ApplyTimer;                           // Applies the batches in Unread.
+    Timer ForgetTimer;                          // Removes the next missing target whose retention is over.
     Timer StopTimer;                            // Next step of a planned stop.
     TimeUs StartedUs = 0;                       // Time of GatewayStart().
     TimeUs PlanUs = 0;                          // Time when the current plan was applied; 0 if there is none.
--- a/gateway/listener.h
+++ b/gateway/listener.h
@@ -51,10 +51,10 @@
 
 struct ListenerConfig
 {
-    std::string Address;        // IP:port.
+    std::string Address;       // IP:port.
     int ConnectionsMax = 1024; // Maximum open connections; further ones are closed when accepted.
     size_t OverlapMax = 8;     // Maximum concurrent requests of one connection.
-    CallerLimits Limits;        // Limits on sizes and times of requests.
+    CallerLimits Limits;       // Limits on sizes and times of requests.
 
     // Whether a request may run concurrently with others of its connection; if empty, none may. Not called for requests with a body, which
     // always run alone, so that each connection buffers at most one body.
--- a/gateway/loop.cpp
+++ b/gateway/loop.cpp
@@ -55,13 +55,13 @@
 static void AdvanceTimers(EventLoop* loop)
 {
     constexpr TimeUs min_suspension = 20 * UsPerMs; // Smaller differences come from reading the two clocks one after the other.
-    const TimeUs total = loop->AsleepUs();
-    const TimeUs suspended = total - loop->AsleepBeforeUs;
+    const TimeUs total = loop->SuspendedTotalUs();
+    const TimeUs suspended = total - loop->LastSuspendedTotalUs;
     if (suspended < min_suspension)
     {
         return;
     }
-    loop->AsleepBeforeUs = total;
+    loop->LastSuspendedTotalUs = total;
     if (loop->OnSuspended)
     {
         loop->OnSuspended(suspended);
@@ -85,7 +85,7 @@
     MeasureStep(loop);
 }
 
-EventLoop::EventLoop() : AsleepUs(TotalSuspendedUs), AsleepBeforeUs(TotalSuspendedUs())
+EventLoop::EventLoop() : SuspendedTotalUs(TotalSuspendedUs), LastSuspendedTotalUs(TotalSuspendedUs())
 {
     const int made = uv_loop_init(&Uv);
     assert(made == 0 && "creating an event loop failed, for example for lack of file descriptors");
--- a/gateway/loop.h
+++ b/gateway/loop.h
@@ -34,9 +34,9 @@
     uint64_t IdleNs = 0;                             // Total time the loop had waited by then.
     TimeUs LongestStepUs = 0;                        // Longest time spent on callbacks between two waits.
     std::set<struct TimerHandle*> Timers;            // Timers that have not fired.
-    std::function<TimeUs()> AsleepUs;                // Total time for which the machine was suspended; tests replace it.
+    std::function<TimeUs()> SuspendedTotalUs;        // Total time for which the machine was suspended; tests replace it.
     std::function<void(TimeUs)> OnSuspended;         // Called after a suspension, with its length, before timers run. May be empty.
-    TimeUs AsleepBeforeUs = 0;                       // Last result of AsleepUs().
+    TimeUs LastSuspendedTotalUs = 0;                 // Last result of SuspendedTotalUs().
 
     EventLoop();
     ~EventLoop();
--- a/gateway/page_client.cpp
+++ b/gateway/page_client.cpp
@@ -23,8 +23,8 @@
     request.Target = target;
     request.HasBody = method == "POST";
     request.TimeoutUs = PageTimeoutUs;
-    request.AnswerMost = PageMax;
-    ClientAnswer answer = ClientAsk(&client, std::move(request));
+    request.MaxAnswerBytes = PageMax;
+    ClientAnswer answer = ClientSendAndWait(&client, std::move(request));
     if (answer.End != ClientEnd_Answered)
     {
         return Error{Code_StatusUnreachable, address + ": " + answer.Detail};
--- a/gateway/pages.cpp
+++ b/gateway/pages.cpp
@@ -36,14 +36,14 @@
     std::string text = FormatLatency("winchlink_request_seconds", fmt::format("service=\"{}\"", name), service.Metrics.Latency);
     text += EndedText(name, service.Metrics);
     text += fmt::format("winchlink_repeats{{service=\"{}\"}} {}\n", name, service.Metrics.Retries);
-    text += fmt::format("winchlink_repeats_refused{{service=\"{}\"}} {}\n", name, service.Metrics.RepeatsRefused);
+    text += fmt::format("winchlink_repeats_refused{{service=\"{}\"}} {}\n", name, service.Metrics.RetriesRefused);
     const SignalCounters& signals = service.Signals;
     text += fmt::format("winchlink_target_signals{{service=\"{}\",signal=\"limit\"}} {}\n", name, signals.Limits);
     text += fmt::format("winchlink_target_signals{{service=\"{}\",signal=\"backoff\"}} {}\n", name, signals.Backoffs);
     text += fmt::format("winchlink_target_signals{{service=\"{}\",signal=\"leaving\"}} {}\n", name, signals.Draining);
     text += fmt::format("winchlink_target_signals{{service=\"{}\",signal=\"unreadable\"}} {}\n", name, signals.Invalid);
     text += fmt::format("winchlink_passed_over_for_limit{{service=\"{}\"}} {}\n", name, signals.OverLimit);
-    text += fmt::format("winchlink_question_limit_us{{service=\"{}\"}} {}\n", name, AskTimeNow(service.ProbeTimeout));
+    text += fmt::format("winchlink_question_limit_us{{service=\"{}\"}} {}\n", name, ProbeTimeoutNow(service.ProbeTimeout));
     text += fmt::format("winchlink_nearly_full_factor{{service=\"{}\"}} {:.3f}\n", name, service.Pool.NearlyFullFactor);
     return text;
 }
@@ -84,7 +84,7 @@
         text += fmt::format("winchlink_customer_refused{{customer=\"{}\"}} {}\n", customer, counters.Refused);
     }
     const Quota& quotas = gateway.Requests.Quotas;
-    text += fmt::format("winchlink_quota_instances {}\n", quotas.MembersMost);
+    text += fmt::format("winchlink_quota_instances {}\n", quotas.MembersMax);
     text += fmt::format("winchlink_quota_customers_limited {}\n", quotas.Shares.size());
     text += fmt::format("winchlink_targets_limited {}\n", CountLimited(gateway.Requests.TargetLimits));
     text += fmt::format("winchlink_quota_datagrams_sent {}\n", gateway.Quotas.Sent);
@@ -97,7 +97,7 @@
 {
     const auto held = [now = NowUs()](const auto& entry)
     {
-        return now < entry.second.HeldUntilUs;
+        return now < entry.second.QuarantinedUntilUs;
     };
     return std::count_if(quarantine.Requests.begin(), quarantine.Requests.end(), held);
 }
@@ -118,12 +118,12 @@
     text += fmt::format("winchlink_in_progress {}\n", requests.InProgress);
     text += fmt::format("winchlink_longest_step_us {}\n", gateway.Loop->LongestStepUs);
     text += fmt::format("winchlink_suspended_us {}\n", gateway.SuspendedUs);
-    text += fmt::format("winchlink_load_questions {}\n", requests.AsksSent);
-    text += fmt::format("winchlink_load_questions_shared {}\n", requests.AsksShared);
+    text += fmt::format("winchlink_load_questions {}\n", requests.ProbesSent);
+    text += fmt::format("winchlink_load_questions_shared {}\n", requests.ProbesShared);
     text += fmt::format("winchlink_target_connections_opened {}\n", gateway.Targets.ConnectionsOpened);
     text += fmt::format("winchlink_requests_overlapped {}\n", gateway.Callers.Overlapped);
-    text += fmt::format("winchlink_silent_connections {}\n", gateway.Targets.SilencesSeen + gateway.Control.SilencesSeen);
-    text += fmt::format("winchlink_replays_stopped {}\n", gateway.Targets.ReplaysStopped);
+    text += fmt::format("winchlink_silent_connections {}\n", gateway.Targets.DeadConnectionsSeen + gateway.Control.DeadConnectionsSeen);
+    text += fmt::format("winchlink_replays_stopped {}\n", gateway.Targets.ResendsPrevented);
     text += StoreCallsText(gateway.Store);
     text += fmt::format("winchlink_items_invalid {}\n", gateway.Invalid.size());
     text += fmt::format("winchlink_items_invalid_seen {}\n", gateway.InvalidSeen);
@@ -165,7 +165,7 @@
     {
         return PoolColdState(pool, target, now) == PoolCold_None ? "cold: slow" : "cold: last choice";
     }
-    if (target.ReportUs > 0 && !PoolHasRoom(pool, target))
+    if (target.ReportUs > 0 && !PoolHasFreeSlot(pool, target))
     {
         return "was full when last asked";
     }
@@ -175,7 +175,7 @@
 static json_t* JsonOfTarget(const Quota& limits, const TargetPool& pool, const PoolTarget& target, TimeUs now)
 {
     json_t* object = json_object();
-    const TargetLimit* limit = QuotaNamed(limits, target.IncarnationId);
+    const TargetLimit* limit = QuotaTargetLimit(limits, target.IncarnationId);
     json_object_set_new(object, "id", JsonText(target.Id));
     json_object_set_new(object, "address", JsonText(target.Address));
     json_object_set_new(object, "near", json_boolean(target.Near));
@@ -252,7 +252,7 @@
     json_object_set_new(object, "readBy", JsonText(following.Origin));
     json_object_set_new(object, "revision", JsonNumber(following.Revision));
     json_object_set_new(object, "ageMs", following.FreshUs > 0 ? JsonMs(now - following.FreshUs) : json_null());
-    json_object_set_new(object, "lost", json_boolean(gateway.Requests.Directory.InTrouble));
+    json_object_set_new(object, "lost", json_boolean(gateway.Requests.Directory.StoreUnavailable));
     json_object_set_new(object, "calls", JsonNumber(StoreCalls(store)));
     json_object_set_new(object, "failures", JsonNumber(store.CallsFailed));
     json_object_set_new(object, "followers", JsonNumber(gateway.Peers.HeldRequests.size()));
@@ -292,7 +292,7 @@
     }
     json_t* object = json_object();
     json_object_set_new(object, "count", JsonNumber(plan ? plan->Callers.List.size() : 0));
-    json_object_set_new(object, "instances", json_real(gateway.Requests.Quotas.MembersMost));
+    json_object_set_new(object, "instances", json_real(gateway.Requests.Quotas.MembersMax));
     json_object_set_new(object, "limited", limited);
     return object;
 }
@@ -325,7 +325,7 @@
             json_t* object = json_object();
             json_object_set_new(object, "request", JsonText(key));
             json_object_set_new(object, "leftMs", JsonMs(request.QuarantinedUntilUs - now));
-            json_object_set_new(object, "ends", json_integer(QuarantineEnds(quarantine, key)));
+            json_object_set_new(object, "ends", json_integer(QuarantineCrashCount(quarantine, key)));
             json_object_set_new(object, "targets", targets);
             json_array_append_new(list, object);
         }
--- a/gateway/held.cpp
+++ b/gateway/quarantined_calls.cpp
@@ -1,4 +1,4 @@
-// held.cpp: requests that crash targets: detects crashes while a request is in flight, and refuses quarantined requests.
+// quarantined_calls.cpp: requests that crash targets: detects crashes while a request is in flight, and refuses quarantined requests.
 //
 // Index of this file:
 // [SECTION] Quarantined requests
@@ -29,7 +29,7 @@
 static TimeUs QuarantinedUntil(Call* call)
 {
     const Quarantine& held = call->Owner->Quarantined;
-    return held.Requests.empty() ? 0 : QuarantineUntil(held, CallKey(call), NowUs());
+    return held.Requests.empty() ? 0 : QuarantineEndUs(held, CallKey(call), NowUs());
 }
 
 bool IsQuarantined(Call* call)
@@ -50,22 +50,22 @@
 static void RecordCrash(Forwarder* forwarder, const std::string& request, const std::string& target)
 {
     const TimeUs now = NowUs();
-    const bool was_quarantined = QuarantineUntil(forwarder->Quarantined, request, now) > 0;
-    if (!QuarantineNote(&forwarder->Quarantined, request, target, now))
+    const bool was_quarantined = QuarantineEndUs(forwarder->Quarantined, request, now) > 0;
+    if (!QuarantineAddCrash(&forwarder->Quarantined, request, target, now))
     {
         return;
     }
-    const TimeUs until = QuarantineUntil(forwarder->Quarantined, request, now);
+    const TimeUs until = QuarantineEndUs(forwarder->Quarantined, request, now);
     const bool newly_quarantined = !was_quarantined && until > 0;
     Log(newly_quarantined ? LogLevel_Warn : LogLevel_Info, newly_quarantined ? Code_RequestHeld : Code_None,
         newly_quarantined ? "request held" : "target ended",
         {{"request", request},
          {"target", target},
-         {"ends", QuarantineEnds(forwarder->Quarantined, request)},
+         {"ends", QuarantineCrashCount(forwarder->Quarantined, request)},
          {"heldForUs", until > 0 ? until - now : 0}});
-    if (forwarder->OnTargetEnd)
+    if (forwarder->OnQuarantineChanged)
     {
-        forwarder->OnTargetEnd();
+        forwarder->OnQuarantineChanged();
     }
 }
 
@@ -111,7 +111,7 @@
     {
         if (HasCrashed(*forwarder, attempt.Target, answer))
         {
-            RecordCrash(forwarder, key, TargetLife(attempt.Target, attempt.Incarnation));
+            RecordCrash(forwarder, key, TargetIncarnation(attempt.Target, attempt.Incarnation));
         }
     };
     ClientSend(forwarder->Targets, std::move(request), on_checked);
@@ -130,8 +130,8 @@
     {
         return;
     }
-    const SilentAttempt silent = {CallKey(call), TargetLife(attempt.Target, attempt.Incarnation), attempt.SentUs};
-    if (SilentAttemptEnded(&forwarder->Unanswered, silent, NowUs()))
+    const UnansweredAttempt silent = {CallKey(call), TargetIncarnation(attempt.Target, attempt.Incarnation), attempt.SentUs};
+    if (SilentCrashesAddAttempt(&forwarder->Unanswered, silent, NowUs()))
     {
         RecordCrash(forwarder, silent.Request, silent.Target);
     }
@@ -139,9 +139,9 @@
 
 void NoteCrashedTargets(Forwarder* forwarder)
 {
-    for (const std::string& target : DirectoryTakeEnded(&forwarder->Directory))
+    for (const std::string& target : DirectoryTakeCrashed(&forwarder->Directory))
     {
-        for (const SilentAttempt& attempt : SilentTargetEnded(&forwarder->Unanswered, target, NowUs()))
+        for (const UnansweredAttempt& attempt : SilentCrashesAddTarget(&forwarder->Unanswered, target, NowUs()))
         {
             RecordCrash(forwarder, attempt.Request, attempt.Target);
         }
@@ -153,16 +153,16 @@
     Forwarder* forwarder = call->Owner;
     if (!forwarder->Unanswered.Attempts.empty())
     {
-        SilentAnswered(&forwarder->Unanswered, CallKey(call));
+        SilentCrashesAnswered(&forwarder->Unanswered, CallKey(call));
     }
-    if (forwarder->Quarantined.Requests.empty() || !QuarantineAnswered(&forwarder->Quarantined, CallKey(call)))
+    if (forwarder->Quarantined.Requests.empty() || !QuarantineClear(&forwarder->Quarantined, CallKey(call)))
     {
         return;
     }
     Log(LogLevel_Info, Code_None, "request cleared", {{"request", CallKey(call)}, {"requestId", call->Id}});
-    if (forwarder->OnTargetEnd)
+    if (forwarder->OnQuarantineChanged)
     {
-        forwarder->OnTargetEnd();
+        forwarder->OnQuarantineChanged();
     }
 }
 
--- a/gateway/quota_link.cpp
+++ b/gateway/quota_link.cpp
@@ -213,7 +213,7 @@
         channel.Reporting = nullptr; // The last limit has expired.
         return;
     }
-    channel.Reporting = TimerStart(link->Loop, QuotaReportIn(*channel.State), [link, subject]() { Report(link, subject); });
+    channel.Reporting = TimerStart(link->Loop, QuotaReportDelay(*channel.State), [link, subject]() { Report(link, subject); });
     Decide(link, subject);
     AnswerOtherFollowers(link, subject);
     if (!channel.State->IsSeed)
@@ -238,14 +238,14 @@
     Quota* known = ChannelOf(link, subject).State;
     if (message.Kind == QuotaMessage_Answer)
     {
-        if (QuotaHeardAnswer(known, message.Answer, now))
+        if (QuotaOnAnswer(known, message.Answer, now))
         {
             AnswerReporters(link, subject);
         }
         return;
     }
     const bool from_seed = message.Kind == QuotaMessage_SeedReport;
-    const bool unknown = QuotaHeardReport(known, from, message.Report, from_seed, now);
+    const bool unknown = QuotaOnReport(known, from, message.Report, from_seed, now);
     Decide(link, subject);
     if (!from_seed)
     {
@@ -280,7 +280,7 @@
         return true;
     }
     Take(link, sender, message.value());
-    QuotaLinkFollow(link); // The message may contain the first limit.
+    QuotaLinkUpdate(link); // The message may contain the first limit.
     return true;
 }
 
@@ -315,7 +315,7 @@
     return BOOST_OUTCOME_V2_NAMESPACE::success();
 }
 
-void QuotaLinkFollow(QuotaLink* link)
+void QuotaLinkUpdate(QuotaLink* link)
 {
     for (const QuotaSubject_ subject : {QuotaSubject_Customers, QuotaSubject_Targets})
     {
--- a/gateway/quota_link.h
+++ b/gateway/quota_link.h
@@ -8,7 +8,7 @@
 // Nothing is sent about customers while none has a quota, nor about targets while no limit is known. Instances that know of a limit send it
 // to their followers, which then start to report too; so a limit spreads through the whole fleet.
 //
-// How to use it: fill the struct, call QuotaLinkStart() once, and QuotaLinkFollow() after each change of the plan or of the known limits.
+// How to use it: fill the struct, call QuotaLinkStart() once, and QuotaLinkUpdate() after each change of the plan or of the known limits.
 
 #pragma once
 
@@ -28,8 +28,8 @@
 struct QuotaChannel
 {
     Quota* State = nullptr;
-    std::function<bool()> IsNeeded;           // Whether there is any quota or limit, so that reports are needed.
-    std::function<bool(TimeUs now)> Decide; // Calls QuotaDecide() or QuotaDecideNamed().
+    std::function<bool()> IsNeeded;         // Whether there is any quota or limit, so that reports are needed.
+    std::function<bool(TimeUs now)> Decide; // Calls QuotaDecide() or QuotaDecideTargets().
     Timer Reporting;
 };
 
@@ -40,7 +40,7 @@
     std::string Own;                                     // IP:port at which other instances reach this one; empty: there are no others.
     int Port = 0;                                        // For datagrams; 0: the exchange is off.
     std::function<std::string()> Source;                 // Address of the instance's source; empty if unknown.
-    std::function<std::vector<std::string>()> Seeds;  // Addresses of the other seeds.
+    std::function<std::vector<std::string>()> Seeds;     // Addresses of the other seeds.
     std::function<std::vector<std::string>()> Followers; // Addresses of all followers, including those that don't report.
     int Socket = -1;
     Watch Readable;
@@ -59,7 +59,7 @@
 Result<void> QuotaLinkStart(QuotaLink* link);
 
 // Starts or stops the reports of each subject, as needed. To be called when the plan or a target's limit has changed.
-void QuotaLinkFollow(QuotaLink* link);
+void QuotaLinkUpdate(QuotaLink* link);
 
 enum QuotaMessage_ : uint8_t
 {
--- a/gateway/relay.cpp
+++ b/gateway/relay.cpp
@@ -167,7 +167,7 @@
     head.StoreLost = relay.StoreLost;
     head.TriedUs = relay.StoreLost ? NowUs() - relay.TriedUs : 0;
     head.Origin = relay.Origin ? relay.Origin() : "";
-    head.EndsDigest = relay.EndsDigest ? relay.EndsDigest() : 0;
+    head.QuarantineDigest = relay.QuarantineDigest ? relay.QuarantineDigest() : 0;
     return head;
 }
 
@@ -227,7 +227,7 @@
 }
 
 // Answers a request with the current data.
-static void Answer(Relay* relay, const RelayWait& wait)
+static void Answer(Relay* relay, const HeldRequest& wait)
 {
     if (relay->Revision == 0)
     {
@@ -249,12 +249,12 @@
 
 static void AnswerHeld(Relay* relay, uint64_t id)
 {
-    RelayWait wait = std::move(relay->HeldRequests.at(id));
+    HeldRequest wait = std::move(relay->HeldRequests.at(id));
     relay->HeldRequests.erase(id);
     Answer(relay, wait);
 }
 
-static void HoldRequest(Relay* relay, RelayWait wait, TimeUs most)
+static void HoldRequest(Relay* relay, HeldRequest wait, TimeUs most)
 {
     const uint64_t id = ++relay->LastWait;
     wait.End = TimerStart(relay->Loop, std::min(most, HoldMaxUs), [relay, id]() { AnswerHeld(relay, id); });
@@ -277,16 +277,16 @@
     return IsAddress(address) ? address : "";
 }
 
-// State of this instance for FanoutAsked().
-static NewsHolder RelayState(const Relay& relay, const NewsAsker& asker)
+// State of this instance for FanoutDecide().
+static UpdateServer RelayState(const Relay& relay, const UpdateRequest& asker)
 {
-    NewsHolder holder;
+    UpdateServer holder;
     holder.Revision = relay.Revision;
     holder.StoreLost = relay.StoreLost;
     holder.DataCentre = relay.DataCentre;
     for (const auto& entry : relay.HeldRequests)
     {
-        const NewsAsker& follower = entry.second.Request;
+        const UpdateRequest& follower = entry.second.Request;
         holder.Followers.push_back(follower.Address);
         if (follower.DataCentre == asker.DataCentre)
         {
@@ -305,35 +305,35 @@
 
 static void OnRequest(Relay* relay, const ExchangePtr& call)
 {
-    if (relay->OnEnds && call->Target == TargetEndsTarget)
+    if (relay->OnTargetCrashes && call->Target == TargetCrashesPath)
     {
-        Reply(call, CallerReply{200, {{"Content-Type", "application/octet-stream"}}, relay->OnEnds(call->Body), false});
+        Reply(call, CallerReply{200, {{"Content-Type", "application/octet-stream"}}, relay->OnTargetCrashes(call->Body), false});
         return;
     }
-    RelayWait wait;
+    HeldRequest wait;
     wait.From = call;
     wait.Request.Address = FollowerAddress(call->Target);
     wait.Request.FullRead = call->Target.rfind("/items", 0) == 0;
     wait.Request.After = QueryNumber(call->Target, "after");
-    wait.Request.AskStore = relay->OnLead && QueryNumber(call->Target, "lead") != 0;
+    wait.Request.AskStore = relay->OnAskStore && QueryNumber(call->Target, "lead") != 0;
     wait.Request.StoreLost = QueryNumber(call->Target, "lost") != 0;
-    if (!wait.Request.Address.empty() && relay->OnMet)
+    if (!wait.Request.Address.empty() && relay->OnInstanceSeen)
     {
-        relay->OnMet(wait.Request.Address);
+        relay->OnInstanceSeen(wait.Request.Address);
     }
     wait.Request.DataCentre = QueryValue(call->Target, "dataCentre");
     wait.Request.Seed = QueryNumber(call->Target, "contact") != 0;
-    const NewsAnswer answer = FanoutAsked(&relay->FollowerLimits, wait.Request, RelayState(*relay, wait.Request), NowUs(), relay->Rng);
+    const UpdateDecision answer = FanoutDecide(&relay->FollowerLimits, wait.Request, RelayState(*relay, wait.Request), NowUs(), relay->Rng);
     switch (answer.Action)
     {
-    case NewsVerdict_SendOn:
+    case UpdateAction_Redirect:
         Redirect(*relay, call, answer.Elsewhere);
         return;
-    case NewsVerdict_Lead:
+    case UpdateAction_AskStore:
         HoldRequest(relay, std::move(wait), HoldMaxUs);
-        relay->OnLead();
+        relay->OnAskStore();
         return;
-    case NewsVerdict_Hold:
+    case UpdateAction_Hold:
         HoldRequest(relay, std::move(wait), static_cast<TimeUs>(QueryNumber(call->Target, "waitMs")) * UsPerMs);
         return;
     default:
@@ -360,7 +360,7 @@
 }
 
 // Answers the held requests that match. Their ids are collected first, as answering may add or remove held requests.
-static void AnswerHeldIf(Relay* relay, const std::function<bool(const RelayWait&)>& ends)
+static void AnswerHeldIf(Relay* relay, const std::function<bool(const HeldRequest&)>& ends)
 {
     std::vector<uint64_t> ending;
     for (const auto& entry : relay->HeldRequests)
@@ -388,9 +388,10 @@
 // Answers all held requests, except those on whose behalf the store is being asked, and full reads while there is no data.
 static void AnswerFollowers(Relay* relay)
 {
-    relay->ToldUs = NowUs();
-    relay->ToldFreshUs = DataTimeUs(*relay);
-    AnswerHeldIf(relay, [relay](const RelayWait& wait) { return !wait.Request.AskStore && (!wait.Request.FullRead || relay->Revision != 0); });
+    relay->AnsweredUs = NowUs();
+    relay->AnsweredDataUs = DataTimeUs(*relay);
+    AnswerHeldIf(relay,
+                 [relay](const HeldRequest& wait) { return !wait.Request.AskStore && (!wait.Request.FullRead || relay->Revision != 0); });
 }
 
 // Changes between the current items and a full read at a later revision.
@@ -465,23 +466,24 @@
     AnswerFollowers(relay);
 }
 
-void RelaySetLost(Relay* relay, TimeUs tried)
+void RelaySetStoreLost(Relay* relay, TimeUs tried)
 {
     const bool before = relay->StoreLost;
     relay->StoreLost = true;
     relay->TriedUs = std::max(relay->TriedUs, tried);
     if (relay->Revision == 0)
     {
-        AnswerHeldIf(relay, [](const RelayWait& wait) { return wait.Request.FullRead && wait.Request.StoreLost && !wait.Request.AskStore; });
+        AnswerHeldIf(relay,
+                     [](const HeldRequest& wait) { return wait.Request.FullRead && wait.Request.StoreLost && !wait.Request.AskStore; });
         return;
     }
-    if (!before || NowUs() >= relay->ToldUs + relay->Config.BeatUs)
+    if (!before || NowUs() >= relay->AnsweredUs + relay->Config.HeartbeatUs)
     {
         AnswerFollowers(relay);
     }
 }
 
-void RelaySetFound(Relay* relay)
+void RelaySetStoreAvailable(Relay* relay)
 {
     if (relay->StoreLost)
     {
@@ -490,22 +492,22 @@
     }
 }
 
-void RelayBeat(Relay* relay)
+void RelayHeartbeat(Relay* relay)
 {
-    if (DataTimeUs(*relay) >= relay->ToldFreshUs + relay->Config.BeatUs)
+    if (DataTimeUs(*relay) >= relay->AnsweredDataUs + relay->Config.HeartbeatUs)
     {
         AnswerFollowers(relay);
     }
 }
 
-void RelayTell(Relay* relay)
+void RelayAnswerAll(Relay* relay)
 {
     AnswerFollowers(relay);
 }
 
-void RelayAnswerLeads(Relay* relay)
+void RelayAnswerDelegated(Relay* relay)
 {
-    AnswerHeldIf(relay, [](const RelayWait& wait) { return wait.Request.AskStore; });
+    AnswerHeldIf(relay, [](const HeldRequest& wait) { return wait.Request.AskStore; });
 }
 
 //-----------------------------------------------------------------------------
--- a/gateway/relay.h
+++ b/gateway/relay.h
@@ -21,53 +21,54 @@
 namespace Winchlink
 {
 
-inline constexpr const char* TargetEndsTarget = "/ends"; // Path for the exchange of target crashes between instances; see Quarantine.
+inline constexpr const char* TargetCrashesPath = "/ends"; // Path for the exchange of target crashes between instances; see Quarantine.
 
 struct RelayConfig
 {
-    size_t ChangesKept = 2000;     // Changes kept in memory; a follower that is further behind must do a full read.
-    TimeUs BeatUs = 800 * UsPerMs; // Followers get a heartbeat when the data last sent to them is older than this. Counted by the age
-                                   // of the data and not by the time of sending, as the data may have been old when it was sent.
+    size_t ChangesKept = 2000;          // Changes kept in memory; a follower that is further behind must do a full read.
+    TimeUs HeartbeatUs = 800 * UsPerMs; // Followers get a heartbeat when the data last sent to them is older than this. Counted by the age
+                                        // of the data and not by the time of sending, as the data may have been old when it was sent.
 };
 
 // A held request of a follower.
-struct RelayWait
+struct HeldRequest
 {
     ExchangePtr From;
-    NewsAsker Request;
+    UpdateRequest Request;
     Timer End;
 };
 
 struct Relay
 {
     RelayConfig Config;
-    Fanout FollowerLimits;          // Limits the followers served here.
+    Fanout FollowerLimits;  // Limits the followers served here.
     std::string DataCentre; // Of this instance.
     EventLoop* Loop = nullptr;
     Random* Rng = nullptr;
     Listener Server;
-    std::map<std::string, StoreItem> Items;                // By key.
-    std::deque<StoreItem> Changes;                         // Latest changes, oldest first.
-    uint64_t ChangesFrom = 0;                              // Changes is complete above this revision.
-    uint64_t Revision = 0;                                       // Store revision of Items; 0: no data.
-    std::function<TimeUs()> Age;                           // Time since Items was known to be current; empty: 0.
-    std::function<void()> OnLead;                          // A follower wants this instance to ask the store; may be empty.
-    std::function<void(const std::string&)> OnMet;         // Gets the address of each requester that can be followed; may be empty.
-    std::function<std::string()> Origin;                   // Returns the instance that reads the store for this one; may be empty.
-    std::function<uint64_t()> EndsDigest;                  // Returns the digest of the quarantine; may be empty.
-    std::function<std::string(const std::string&)> OnEnds; // Handles a message with target crashes; returns the answer. May be empty.
-    bool StoreLost = false;                                  // The store is lost.
-    TimeUs TriedUs = 0;                                    // If so: time of the last failed attempt to reach it.
-    TimeUs ToldUs = 0;                                     // When updates or heartbeats were last sent to all followers.
-    TimeUs ToldFreshUs = 0;                                // Time as of which that data was known to be current.
-    std::map<uint64_t, RelayWait> HeldRequests;                   // Held requests, by number.
-    uint64_t LastWait = 0;                                 // Number of the latest one.
-    uint64_t PackedAfter = 0;                              // Cached answer: changes after this revision,
-    uint64_t PackedAt = 0;                                 // up to this one,
-    std::string Packed;                                    // encoded.
-    std::string All;                                       // Cached answer to full reads, encoded.
-    uint64_t AllAt = 0;                                    // Its revision; 0: none.
-    uint64_t Answers = 0;                                  // Counter: answers to requests for changes.
+    std::map<std::string, StoreItem> Items;                 // By key.
+    std::deque<StoreItem> Changes;                          // Latest changes, oldest first.
+    uint64_t ChangesFrom = 0;                               // Changes is complete above this revision.
+    uint64_t Revision = 0;                                  // Store revision of Items; 0: no data.
+    std::function<TimeUs()> Age;                            // Time since Items was known to be current; empty: 0.
+    std::function<void()> OnAskStore;                       // A follower wants this instance to ask the store; may be empty.
+    std::function<void(const std::string&)> OnInstanceSeen; // Gets the address of each requester that can be followed; may be empty.
+    std::function<std::string()> Origin;                    // Returns the instance that reads the store for this one; may be empty.
+    std::function<uint64_t()> QuarantineDigest;             // Returns the digest of the quarantine; may be empty.
+    std::function<std::string(const std::string&)>
+        OnTargetCrashes;                          // Handles a message with target crashes; returns the answer. May be empty.
+    bool StoreLost = false;                       // The store is lost.
+    TimeUs TriedUs = 0;                           // If so: time of the last failed attempt to reach it.
+    TimeUs AnsweredUs = 0;                        // When updates or heartbeats were last sent to all followers.
+    TimeUs AnsweredDataUs = 0;                    // Time as of which that data was known to be current.
+    std::map<uint64_t, HeldRequest> HeldRequests; // Held requests, by number.
+    uint64_t LastWait = 0;                        // Number of the latest one.
+    uint64_t PackedAfter = 0;                     // Cached answer: changes after this revision,
+    uint64_t PackedAt = 0;                        // up to this one,
+    std::string Packed;                           // encoded.
+    std::string All;                              // Cached answer to full reads, encoded.
+    uint64_t AllAt = 0;                           // Its revision; 0: none.
+    uint64_t Answers = 0;                         // Counter: answers to requests for changes.
 
     Relay() = default;
     ~Relay();
@@ -83,28 +84,28 @@
 void RelayAddChanges(Relay* relay, const std::vector<StoreItem>& changes, uint64_t at);
 
 // The store is lost, with the last failed attempt at `tried`; the store is available again.
-void RelaySetLost(Relay* relay, TimeUs tried);
-void RelaySetFound(Relay* relay);
+void RelaySetStoreLost(Relay* relay, TimeUs tried);
+void RelaySetStoreAvailable(Relay* relay);
 
 // The source answered without changes. Sends a heartbeat to the followers when due, so that the age of their data stays low over several
 // hops.
-void RelayBeat(Relay* relay);
+void RelayHeartbeat(Relay* relay);
 
-// Answers all waiting followers at once, to pass on a state other than the store's items, such as a new EndsDigest.
-void RelayTell(Relay* relay);
+// Answers all waiting followers at once, to pass on a state other than the store's items, such as a new QuarantineDigest.
+void RelayAnswerAll(Relay* relay);
 
 // Addresses of the current followers that can be followed themselves.
 std::vector<std::string> RelayFollowers(const Relay& relay);
 
 // The store has answered or failed: answers the followers on whose behalf it was asked.
-void RelayAnswerLeads(Relay* relay);
+void RelayAnswerDelegated(Relay* relay);
 
 // What a follower sends about itself.
 struct RelayFollower
 {
     std::string Address;    // Where it can be followed; empty if it can't.
     std::string DataCentre; // Where it runs.
-    bool Seed = false;   // It is a seed.
+    bool Seed = false;      // It is a seed.
 };
 
 // Paths and encodings of the calls of a follower.
--- a/gateway/request_reader.cpp
+++ b/gateway/request_reader.cpp
@@ -159,7 +159,7 @@
 {
     reader->Request.Body = std::move(reader->Parser->Beast.get().body());
     reader->Parser = nullptr;
-    reader->State = ReadState_Whole;
+    reader->State = ReadState_Complete;
     return reader->State;
 }
 
@@ -174,7 +174,7 @@
 
 ReadState_ RequestReaderFeed(RequestReader* reader, std::string* bytes)
 {
-    if (reader->State == ReadState_Whole || reader->State == ReadState_Refused)
+    if (reader->State == ReadState_Complete || reader->State == ReadState_Refused)
     {
         return reader->State;
     }
--- a/gateway/request_reader.h
+++ b/gateway/request_reader.h
@@ -1,8 +1,8 @@
 // request_reader.h: incremental parser for one HTTP/1.1 request, based on Boost.Beast.
 //
 // How to use it: call RequestReaderBegin() with the limits, then RequestReaderFeed() with all unparsed bytes whenever more have arrived. It
-// consumes what belongs to the request and leaves the rest, which may be the next request. After ReadState_Whole, move Request out and call
-// RequestReaderBegin() again.
+// consumes what belongs to the request and leaves the rest, which may be the next request. After ReadState_Complete, move Request out and
+// call RequestReaderBegin() again.
 
 #pragma once
 
@@ -14,11 +14,11 @@
 
 enum ReadState_ : int
 {
-    ReadState_Begin,   // No byte of the request has arrived.
-    ReadState_Headers, // The headers are incomplete.
-    ReadState_Body,    // The headers are complete, the body is not.
-    ReadState_Whole,   // The request is complete.
-    ReadState_Refused, // The request is rejected, see Status and Code. Its end is unknown, so the connection can't be used further.
+    ReadState_Begin,    // No byte of the request has arrived.
+    ReadState_Headers,  // The headers are incomplete.
+    ReadState_Body,     // The headers are complete, the body is not.
+    ReadState_Complete, // The request is complete.
+    ReadState_Refused,  // The request is rejected, see Status and Code. Its end is unknown, so the connection can't be used further.
     ReadState_COUNT,
 };
 
@@ -36,7 +36,7 @@
 struct RequestReader
 {
     ReadState_ State = ReadState_Begin;
-    CallerRequest Request;                 // Complete in ReadState_Whole; in ReadState_Body without its body.
+    CallerRequest Request;                 // Complete in ReadState_Complete; in ReadState_Body without its body.
     bool WantsContinue = false;            // In ReadState_Body: the caller sent "Expect: 100-continue".
     int Status = 0;                        // In ReadState_Refused: HTTP status of the answer.
     Code_ Code = Code_None;                // In ReadState_Refused: error code of the answer.
@@ -52,7 +52,7 @@
 // Resets the reader; the next byte starts a request.
 void RequestReaderBegin(RequestReader* reader, const CallerLimits& limits);
 
-// Parses the request from the front of `bytes`, removes what it consumed, and returns the state. Consumes nothing in ReadState_Whole and
+// Parses the request from the front of `bytes`, removes what it consumed, and returns the state. Consumes nothing in ReadState_Complete and
 // ReadState_Refused.
 ReadState_ RequestReaderFeed(RequestReader* reader, std::string* bytes);
 
--- a/gateway/settings.h
+++ b/gateway/settings.h
@@ -12,25 +12,25 @@
 
 struct Settings
 {
-    std::string Instance;                     // Name of the instance in logs and request ids.
-    std::string DataCentre;                   // Data centre of the instance.
-    std::string CallerAddress;                // IP:port for callers.
-    std::string ReadyAddress;                 // IP:port for readiness checks of the balancer in front.
-    std::string MetricsAddress;               // IP:port of the metrics and status pages; empty: none.
-    std::string PeerAddress;                  // IP:port for other instances; empty: none.
-    std::string StoreAddress;                 // IP:port of the platform's store or of the table service.
-    std::vector<std::string> Peers;           // Peer addresses of the seeds; some may be out of date.
+    std::string Instance;                    // Name of the instance in logs and request ids.
+    std::string DataCentre;                  // Data centre of the instance.
+    std::string CallerAddress;               // IP:port for callers.
+    std::string ReadyAddress;                // IP:port for readiness checks of the balancer in front.
+    std::string MetricsAddress;              // IP:port of the metrics and status pages; empty: none.
+    std::string PeerAddress;                 // IP:port for other instances; empty: none.
+    std::string StoreAddress;                // IP:port of the platform's store or of the table service.
+    std::vector<std::string> Peers;          // Peer addresses of the seeds; some may be out of date.
     int ConnectionsMax = 1024;               // Maximum open connections of callers.
-    TimeUs GraceUs = 6 * UsPerSecond;         // Time from the stop signal until the process is killed.
+    TimeUs GraceUs = 6 * UsPerSecond;        // Time from the stop signal until the process is killed.
     TimeUs RetryWindowUs = 10 * UsPerSecond; // Window of the retry budget.
     double RetryShare = 0.2;                 // Retries as a share of a service's requests in a window.
-    int CrashesMax = 3;                         // A request is quarantined once it has crashed this many targets.
-    TimeUs QuarantineUs = 600 * UsPerSecond;        // Duration of a request's first quarantine.
-    int DatagramPort = 0;                     // Port for datagrams between instances, on the IP of PeerAddress; the same for all; 0: none.
-    TimeUs QuotaWindowUs = 5 * UsPerSecond;   // Window in which customers' requests are counted.
-    double QuotaOverage = 0.25;               // Share of its quota by which a customer may exceed it in a window.
-    double QuotaSlack = 20;                   // Requests by which a customer may exceed its quota in a window, in addition.
-    LogLevel_ Level = LogLevel_Info;          // Minimum level of log lines.
+    int CrashesMax = 3;                      // A request is quarantined once it has crashed this many targets.
+    TimeUs QuarantineUs = 600 * UsPerSecond; // Duration of a request's first quarantine.
+    int DatagramPort = 0;                    // Port for datagrams between instances, on the IP of PeerAddress; the same for all; 0: none.
+    TimeUs QuotaWindowUs = 5 * UsPerSecond;  // Window in which customers' requests are counted.
+    double QuotaOverage = 0.25;              // Share of its quota by which a customer may exceed it in a window.
+    double QuotaSlack = 20;                  // Requests by which a customer may exceed its quota in a window, in addition.
+    LogLevel_ Level = LogLevel_Info;         // Minimum level of log lines.
 };
 
 struct CheckedSettings
--- a/gateway/store_news.cpp
+++ b/gateway/store_news.cpp
@@ -31,7 +31,7 @@
     requests.Plan = std::make_shared<const RoutePlan>(plan);
     gateway->PlanUs = NowUs();
     ListenerSetLimits(&gateway->Callers, plan.Limits);
-    QuotaLinkFollow(&gateway->Quotas);
+    QuotaLinkUpdate(&gateway->Quotas);
     Log(LogLevel_Info, Code_None, "plan in force",
         {{"version", plan.Version},
          {"before", held},
@@ -54,10 +54,10 @@
 
 static constexpr int ReadyNamedMax = 5;
 
-static void CountChange(const TargetNews& news, const std::string& service, std::map<std::string, TargetChanges>* changes)
+static void CountChange(const TargetUpdate& news, const std::string& service, std::map<std::string, TargetChanges>* changes)
 {
     TargetChanges& of_service = (*changes)[service];
-    const bool leaving = !news.Gone && news.Target.Presence == Presence_Leaving;
+    const bool leaving = !news.Gone && news.Target.Presence == Presence_Draining;
     of_service.Gone += news.Gone ? 1 : 0;
     of_service.Leaving += leaving ? 1 : 0;
     of_service.Ready += news.Gone || leaving ? 0 : 1;
@@ -97,7 +97,7 @@
     }
 }
 
-static void ApplyTarget(Gateway* gateway, const TargetNews& news, std::map<std::string, TargetChanges>* changes)
+static void ApplyTarget(Gateway* gateway, const TargetUpdate& news, std::map<std::string, TargetChanges>* changes)
 {
     const DirectoryTarget& target = news.Target;
     TargetDirectory& directory = gateway->Requests.Directory;
@@ -121,30 +121,30 @@
 }
 
 // Removes the targets that `news`, a full read, does not contain.
-static void RemoveUnlistedTargets(Gateway* gateway, const StoreNews& news, uint64_t at)
+static void RemoveUnlistedTargets(Gateway* gateway, const StoreUpdates& news, uint64_t at)
 {
     std::set<std::string> named;
-    for (const TargetNews& target : news.Targets)
+    for (const TargetUpdate& target : news.Targets)
     {
         named.insert(target.Target.Id);
     }
-    DirectoryKeep(&gateway->Requests.Directory, named, at, NowUs());
+    DirectoryKeepOnly(&gateway->Requests.Directory, named, at, NowUs());
 }
 
 // Schedules the removal of missing targets. It must be on time: later requests may reach a target that has stopped.
 static void ScheduleExpiry(Gateway* gateway)
 {
-    const std::optional<TimeUs> next = DirectoryNextForget(gateway->Requests.Directory);
+    const std::optional<TimeUs> next = DirectoryNextExpiry(gateway->Requests.Directory);
     gateway->ForgetTimer = nullptr;
     if (next)
     {
         gateway->ForgetTimer = TimerStart(gateway->Loop, *next - NowUs(),
-                                         [gateway]()
-                                         {
-                                             DirectoryTick(&gateway->Requests.Directory, NowUs());
-                                             ForwarderFollow(&gateway->Requests);
-                                             ScheduleExpiry(gateway);
-                                         });
+                                          [gateway]()
+                                          {
+                                              DirectoryRemoveExpired(&gateway->Requests.Directory, NowUs());
+                                              ForwarderFollow(&gateway->Requests);
+                                              ScheduleExpiry(gateway);
+                                          });
     }
 }
 
@@ -163,23 +163,23 @@
         {{"dataCentre", data_centre}, {"revision", revision}, {"targets", known}});
 }
 
-static void ApplyEvacuations(Gateway* gateway, const StoreNews& news, uint64_t at, bool everything)
+static void ApplyEvacuations(Gateway* gateway, const StoreUpdates& news, uint64_t at, bool everything)
 {
     TargetDirectory& directory = gateway->Requests.Directory;
     std::set<std::string> named;
-    for (const EvacuationNews& evacuation : news.Evacuations)
+    for (const EvacuationUpdate& evacuation : news.Evacuations)
     {
         named.insert(evacuation.DataCentre);
-        if (DirectoryEvacuate(&directory, evacuation.DataCentre, evacuation.Word))
+        if (DirectoryEvacuate(&directory, evacuation.DataCentre, evacuation.NewState))
         {
-            LogEvacuation(*gateway, evacuation.DataCentre, evacuation.Word.InForce, evacuation.Word.Revision);
+            LogEvacuation(*gateway, evacuation.DataCentre, evacuation.NewState.InForce, evacuation.NewState.Revision);
         }
     }
     if (!everything)
     {
         return;
     }
-    for (const std::string& data_centre : DirectoryKeepEvacuated(&directory, named, at))
+    for (const std::string& data_centre : DirectoryKeepOnlyEvacuated(&directory, named, at))
     {
         LogEvacuation(*gateway, data_centre, false, at);
     }
@@ -190,10 +190,10 @@
 //-----------------------------------------------------------------------------
 
 // Logs each invalid item once, and again when its error changes.
-static void UpdateInvalid(Gateway* gateway, const StoreNews& news, const std::vector<StoreItem>& list, uint64_t at, bool everything)
+static void UpdateInvalid(Gateway* gateway, const StoreUpdates& news, const std::vector<StoreItem>& list, uint64_t at, bool everything)
 {
     const std::map<std::string, std::string> before = gateway->Invalid;
-    if (everything || news.InvalidIsAll)
+    if (everything || news.InvalidIsComplete)
     {
         gateway->Invalid.clear();
     }
@@ -219,14 +219,14 @@
 
 static void ApplyItems(Gateway* gateway, const std::vector<StoreItem>& list, uint64_t at, bool everything)
 {
-    const StoreNews news = gateway->Platform.Read({list, at, everything, NowUs()});
+    const StoreUpdates news = gateway->Platform.Read({list, at, everything, NowUs()});
     UpdateInvalid(gateway, news, list, at, everything);
     if (news.Plan)
     {
         ApplyPlan(gateway, *news.Plan);
     }
     std::map<std::string, TargetChanges> changes;
-    for (const TargetNews& target : news.Targets)
+    for (const TargetUpdate& target : news.Targets)
     {
         ApplyTarget(gateway, target, &changes);
     }
@@ -256,7 +256,7 @@
     }
 }
 
-void ReadSoon(Gateway* gateway, StoreBatch batch)
+void ApplySoon(Gateway* gateway, StoreBatch batch)
 {
     gateway->PendingBatches.push_back(std::move(batch));
     if (!gateway->ApplyTimer)
--- a/gateway/store_news.h
+++ b/gateway/store_news.h
@@ -8,6 +8,6 @@
 {
 
 // Queues a batch of items and applies the queue, in order, after a short delay, so that followers are served first.
-void ReadSoon(Gateway* gateway, StoreBatch batch);
+void ApplySoon(Gateway* gateway, StoreBatch batch);
 
 } // namespace Winchlink
--- a/gateway/store_reader.cpp
+++ b/gateway/store_reader.cpp
@@ -54,7 +54,7 @@
 {
     if (AsksStore(*reader))
     {
-        const StoreReason_ reason = reader->HistoryGone ? StoreReason_History : reader->Following.Next.Reason;
+        const StoreReason_ reason = reader->HistoryGone ? StoreReason_HistoryGone : reader->Following.Next.Reason;
         reader->StoreCallsFor[reason]++;
     }
 }
@@ -113,12 +113,12 @@
     return answer.End == ClientEnd_Answered && answer.Status == 200;
 }
 
-static void LogSourceLeft(StoreReader* reader, const FollowStep& step, FollowVerdict_ verdict, const StorePage& page)
+static void LogSourceLeft(StoreReader* reader, const FollowStep& step, FollowResult_ verdict, const StorePage& page)
 {
     reader->CallsFailed++;
     Log(LogLevel_Info, Code_PlatformUnreachable, "source left",
         {{"address", step.Address},
-         {"detail", verdict == FollowVerdict_Ours ? "its data comes from this instance" : "stale or behind"},
+         {"detail", verdict == FollowResult_Loop ? "its data comes from this instance" : "stale or behind"},
          {"revision", page.Revision},
          {"ageUs", page.AgeUs},
          {"ours", reader->Following.Revision}});
@@ -130,17 +130,17 @@
 {
     const FollowStep step = reader->Following.Next;
     const uint64_t before = reader->Following.Revision;
-    for (const Error& nameless : page.Nameless)
+    for (const Error& nameless : page.ItemsWithoutKey)
     {
         Log(LogLevel_Error, nameless.Code, "item names nothing",
             {{"address", step.Address}, {"revision", page.Revision}, {"detail", nameless.Detail}});
     }
-    if (reader->OnEndsDigest && step.Kind != SourceKind_Store)
+    if (reader->OnQuarantineDigest && step.Kind != SourceKind_Store)
     {
-        reader->OnEndsDigest(page.EndsDigest);
+        reader->OnQuarantineDigest(page.QuarantineDigest);
     }
-    const SourceNews news = {page.Revision, page.AgeUs, page.StoreLost, page.TriedUs, page.Origin};
-    const FollowVerdict_ verdict = FollowHeard(&reader->Following, news, NowUs(), reader->Rng);
+    const SourceStatus news = {page.Revision, page.AgeUs, page.StoreLost, page.TriedUs, page.Origin};
+    const FollowResult_ verdict = FollowAnswered(&reader->Following, news, NowUs(), reader->Rng);
     const bool changed = !everything && page.Revision > before && !page.Items.empty();
     if (everything && page.Revision >= before)
     {
@@ -151,11 +151,11 @@
     {
         reader->OnChanges(page.Items, page.Revision);
     }
-    if (verdict == FollowVerdict_Good)
+    if (verdict == FollowResult_Good)
     {
         reader->OnAnswered(changed || everything);
     }
-    else if (verdict == FollowVerdict_Lost)
+    else if (verdict == FollowResult_StoreLost)
     {
         reader->OnTrouble("reported by " + step.Address, page.TriedUs);
     }
@@ -164,7 +164,7 @@
         LogSourceLeft(reader, step, verdict, page);
     }
     const bool batch = changed && step.Kind == SourceKind_Store;
-    StartNextStep(reader, batch ? reader->FromStore.GatherUs : 0);
+    StartNextStep(reader, batch ? reader->FromStore.BatchUs : 0);
 }
 
 //-----------------------------------------------------------------------------
@@ -180,7 +180,7 @@
     {
         return false;
     }
-    FollowSentOn(&reader->Following, page.Elsewhere, reader->Rng);
+    FollowRedirected(&reader->Following, page.Elsewhere, reader->Rng);
     StartNextStep(reader);
     return true;
 }
@@ -243,7 +243,7 @@
     if (answer.End == ClientEnd_Answered && answer.Status == source.Dialect.HistoryGoneStatus)
     {
         reader->HistoryGone = true;
-        StartNextStep(reader, std::uniform_int_distribution<TimeUs>(0, source.GatherUs)(*reader->Rng));
+        StartNextStep(reader, std::uniform_int_distribution<TimeUs>(0, source.BatchUs)(*reader->Rng));
         return;
     }
     if (!IsGood(answer))
@@ -270,7 +270,8 @@
     const StoreSource& source = SourceOf(*reader);
     const FollowStep& step = reader->Following.Next;
     const TimeUs wait = step.WaitMaxUs > 0 ? std::min(step.WaitMaxUs, source.WaitUs) : source.WaitUs;
-    Call(reader, source.Dialect.ChangesTarget(reader->Following.Revision, wait), wait + (source.MarginUs << step.MarginDoublings), OnChanges);
+    Call(reader, source.Dialect.ChangesTarget(reader->Following.Revision, wait), wait + (source.MarginUs << step.MarginDoublings),
+         OnChanges);
 }
 
 //-----------------------------------------------------------------------------
@@ -297,15 +298,15 @@
 
 void StoreReaderAskStore(StoreReader* reader)
 {
-    if (FollowAsked(&reader->Following))
+    if (FollowAskStore(&reader->Following))
     {
         CancelAndContinue(reader);
     }
 }
 
-void StoreReaderNeeded(StoreReader* reader)
+void StoreReaderCallersWaiting(StoreReader* reader)
 {
-    if (FollowNeeded(&reader->Following))
+    if (FollowCallersWaiting(&reader->Following))
     {
         CancelAndContinue(reader);
     }
--- a/gateway/store_reader.h
+++ b/gateway/store_reader.h
@@ -31,21 +31,21 @@
 struct StorePage
 {
     std::vector<StoreItem> Items;
-    std::vector<Error> Nameless;        // Items without a usable key; they are logged and skipped.
+    std::vector<Error> ItemsWithoutKey; // Items without a usable key; they are logged and skipped.
     bool More = false;                  // Another page follows.
-    uint64_t Revision = 0;                    // Store revision of the data.
+    uint64_t Revision = 0;              // Store revision of the data.
     TimeUs AgeUs = 0;                   // Time since the data was known to be current; 0 from the store itself.
-    bool StoreLost = false;               // The source has lost the store.
+    bool StoreLost = false;             // The source has lost the store.
     TimeUs TriedUs = 0;                 // If so: time since the last failed attempt to reach the store.
     std::string Origin;                 // Address of the instance that reads the store for the source; may be empty.
     std::vector<std::string> Elsewhere; // Redirect: ask one of these instances instead.
-    uint64_t EndsDigest = 0;            // Digest of the source's quarantine; only from an instance.
+    uint64_t QuarantineDigest = 0;      // Digest of the source's quarantine; only from an instance.
     std::string Packed;                 // Items as received from another instance, to be passed on without encoding them again.
 
     // Head of a message between instances; the items follow separately.
     template <class Archive> void serialize(Archive& archive)
     {
-        archive(More, Revision, AgeUs, StoreLost, TriedUs, Origin, Elsewhere, EndsDigest);
+        archive(More, Revision, AgeUs, StoreLost, TriedUs, Origin, Elsewhere, QuarantineDigest);
     }
 };
 
@@ -56,7 +56,7 @@
     std::function<std::string(uint64_t after, TimeUs wait)> ChangesTarget; // Path and query for a long poll.
     std::function<Result<StorePage>(const std::string& body)> ReadPage;    // Decodes a page.
     std::function<Result<StorePage>(const std::string& body)> ReadChanges; // Decodes the answer to a long poll.
-    std::function<std::string(const FollowStep& step)> QueryFlags;            // Query parameters added to either; may be empty.
+    std::function<std::string(const FollowStep& step)> QueryFlags;         // Query parameters added to either; may be empty.
     int HistoryGoneStatus = 410;                                           // Status if changes since the revision are no longer kept.
 };
 
@@ -65,7 +65,7 @@
     StoreDialect Dialect;
     TimeUs WaitUs = 0;    // Duration of a long poll.
     TimeUs MarginUs = 0;  // Added to it for the timeout of the call.
-    TimeUs GatherUs = 0;  // Pause after changes, to batch them.
+    TimeUs BatchUs = 0;   // Pause after changes, to batch them.
     TimeUs ReadUs = 0;    // Timeout of a page.
     TimeUs ConnectUs = 0; // Connect timeout.
 };
@@ -79,7 +79,7 @@
     std::function<void(const std::vector<StoreItem>&, uint64_t at)> OnChanges; // Changes up to a revision.
     std::function<void(const std::string& why, TimeUs tried)> OnTrouble;       // The store failed, `tried` microseconds ago.
     std::function<void(bool changed)> OnAnswered;                              // A source answered with current data.
-    std::function<void(uint64_t digest)> OnEndsDigest;                         // An instance answered, see StorePage. May be empty.
+    std::function<void(uint64_t digest)> OnQuarantineDigest;                   // An instance answered, see StorePage. May be empty.
 
     EventLoop* Loop = nullptr;
     Client* Calls = nullptr;
@@ -99,8 +99,8 @@
 // Asks the store at once, on behalf of another instance.
 void StoreReaderAskStore(StoreReader* reader);
 
-// Callers wait for the first data; see FollowNeeded().
-void StoreReaderNeeded(StoreReader* reader);
+// Callers wait for the first data; see FollowCallersWaiting().
+void StoreReaderCallersWaiting(StoreReader* reader);
 
 // Number of calls to the store so far.
 uint64_t StoreCalls(const StoreReader& reader);
--- a/gateway/table_adapter.cpp
+++ b/gateway/table_adapter.cpp
@@ -71,7 +71,7 @@
     }
     for (const Fault& fault : nameless)
     {
-        page.Nameless.push_back({fault.Code, fault.Where + ": " + fault.Detail});
+        page.ItemsWithoutKey.push_back({fault.Code, fault.Where + ": " + fault.Detail});
     }
     if (!faults.empty())
     {
@@ -170,9 +170,9 @@
 
 // Evacuations apply even while the rows have faults, so that an evacuation is never delayed. Data centres without targets are accepted too:
 // targets that join one later get no requests.
-static std::vector<EvacuationNews> ReadEvacuations(const std::vector<StoreItem>& list)
+static std::vector<EvacuationUpdate> ReadEvacuations(const std::vector<StoreItem>& list)
 {
-    std::vector<EvacuationNews> updates;
+    std::vector<EvacuationUpdate> updates;
     for (const StoreItem& item : list)
     {
         if (IsEvacuation(item))
@@ -214,17 +214,17 @@
 }
 
 // Reports a target that was removed from the table, or whose weight became 0, as draining and then as removed.
-static void AddRemovedTarget(const DirectoryTarget& before, uint64_t revision, StoreNews* updates)
+static void AddRemovedTarget(const DirectoryTarget& before, uint64_t revision, StoreUpdates* updates)
 {
     DirectoryTarget leaving = before;
-    leaving.Presence = Presence_Leaving;
+    leaving.Presence = Presence_Draining;
     leaving.Revision = revision;
     updates->Targets.push_back({leaving, false});
     updates->Targets.push_back({leaving, true});
 }
 
 // Reports all targets after a full snapshot, otherwise only removed ones and those of changed rows.
-static void AddTargets(TableState* state, const StoreItems& items, StoreNews* updates)
+static void AddTargets(TableState* state, const StoreItems& items, StoreUpdates* updates)
 {
     std::map<std::string, DirectoryTarget> next = MakeTargets(*state);
     for (const auto& entry : state->InForce)
@@ -246,15 +246,15 @@
     state->InForce = std::move(next);
 }
 
-static StoreNews ReadTable(TableState* state, const StoreItems& items)
+static StoreUpdates ReadTable(TableState* state, const StoreItems& items)
 {
-    StoreNews updates;
+    StoreUpdates updates;
     if (items.IsSnapshot)
     {
         state->Rows.clear();
         state->Unusable.clear();
     }
-    updates.InvalidIsAll = true; // The table is always checked as a whole.
+    updates.InvalidIsComplete = true; // The table is always checked as a whole.
     updates.Evacuations = ReadEvacuations(items.List);
     for (const StoreItem& item : items.List)
     {
--- a/gateway/target_signals.cpp
+++ b/gateway/target_signals.cpp
@@ -82,7 +82,7 @@
     return number;
 }
 
-TargetSignals ReadTargetSignals(const WireNames& names, int status, const std::vector<Header>& headers, time_t now_s)
+TargetSignals ParseTargetSignals(const WireNames& names, int status, const std::vector<Header>& headers, time_t now_s)
 {
     TargetSignals signals;
     const std::optional<double> limit = ParseNumberHeader(headers, names.Limit, &signals);
@@ -154,14 +154,16 @@
     {
         return;
     }
-    const uint64_t id = TargetLifeId(source.Target, source.Incarnation);
-    if (QuotaName(&forwarder->TargetLimits, id, signals.LimitPerS, NowUs()))
+    const uint64_t id = TargetIncarnationId(source.Target, source.Incarnation);
+    if (QuotaSetTargetLimit(&forwarder->TargetLimits, id, signals.LimitPerS, NowUs()))
     {
         Log(LogLevel_Info, Code_None, signals.LimitPerS ? "target names a limit" : "target names no limit any more",
-            {{"target", source.Target}, {"perS", fmt::format("{:.3f}", signals.LimitPerS.value_or(0))}, {"health", source.HealthProbe ? 1 : 0}});
-        if (forwarder->OnLimit)
+            {{"target", source.Target},
+             {"perS", fmt::format("{:.3f}", signals.LimitPerS.value_or(0))},
+             {"health", source.HealthProbe ? 1 : 0}});
+        if (forwarder->OnTargetLimitChanged)
         {
-            forwarder->OnLimit();
+            forwarder->OnTargetLimitChanged();
         }
     }
 }
@@ -179,7 +181,7 @@
 
 static void ApplyDraining(Forwarder* forwarder, const SignalSource& source, const TargetSignals& signals)
 {
-    if (signals.Draining && DirectoryToldLeaving(&forwarder->Directory, source.Target, source.Incarnation))
+    if (signals.Draining && DirectoryMarkDraining(&forwarder->Directory, source.Target, source.Incarnation))
     {
         Log(LogLevel_Info, Code_None, "target says that it leaves", {{"target", source.Target}, {"health", source.HealthProbe ? 1 : 0}});
         // Deferred to the event loop: ForwarderFollow() may send requests, which must not happen inside the header callback of a transfer.
@@ -192,18 +194,19 @@
     PoolTarget* target = signals.ColdUs ? PoolFind(&service->Pool, source.Target) : nullptr;
     if (target != nullptr && target->Incarnation == source.Incarnation)
     {
-        PoolToldCold(service->Pool.Config, target, NowUs() + *signals.ColdUs);
+        PoolSetCold(service->Pool.Config, target, NowUs() + *signals.ColdUs);
     }
 }
 
-void HearTarget(Forwarder* forwarder, ServiceState* service, const SignalSource& source, int status, const std::vector<Header>& headers)
+void ApplyTargetSignals(Forwarder* forwarder, ServiceState* service, const SignalSource& source, int status,
+                        const std::vector<Header>& headers)
 {
     constexpr int wrong_target = 421; // Misdirected request: the signals are those of another target at that address.
     if (status == wrong_target)
     {
         return;
     }
-    const TargetSignals signals = ReadTargetSignals(forwarder->Names, status, headers, std::time(nullptr));
+    const TargetSignals signals = ParseTargetSignals(forwarder->Names, status, headers, std::time(nullptr));
     CountSignals(signals, &service->Signals);
     LogSignals(source, status, signals);
     ApplyLimit(forwarder, source, signals);
--- a/gateway/target_signals.h
+++ b/gateway/target_signals.h
@@ -15,22 +15,23 @@
     std::optional<double> LimitPerS; // Rate limit in requests per second, for all instances together.
     std::optional<TimeUs> BackoffUs; // Time for which this instance must send it nothing.
     std::optional<TimeUs> ColdUs;    // Remaining warm-up time.
-    bool Draining = false;            // Draining: it takes no new requests.
+    bool Draining = false;           // Draining: it takes no new requests.
     std::vector<Header> Unreadable;  // Signal headers with malformed values, which are ignored.
 };
 
 // Parses the signals of one answer. `now_s`: wall-clock time in seconds; used for a Retry-After date if the answer has no Date header.
-TargetSignals ReadTargetSignals(const WireNames& names, int status, const std::vector<Header>& headers, time_t now_s);
+TargetSignals ParseTargetSignals(const WireNames& names, int status, const std::vector<Header>& headers, time_t now_s);
 
 // The origin of an answer.
 struct SignalSource
 {
-    std::string Target;  // Id of the target.
-    uint64_t Incarnation = 0;   // Incarnation of the target.
+    std::string Target;       // Id of the target.
+    uint64_t Incarnation = 0; // Incarnation of the target.
     bool HealthProbe = false; // Answer to a health probe; otherwise to a request.
 };
 
 // Applies the signals of an answer to the state of its target.
-void HearTarget(Forwarder* forwarder, ServiceState* service, const SignalSource& source, int status, const std::vector<Header>& headers);
+void ApplyTargetSignals(Forwarder* forwarder, ServiceState* service, const SignalSource& source, int status,
+                        const std::vector<Header>& headers);
 
 } // namespace Winchlink
--- a/tests/check.h
+++ b/tests/check.h
@@ -38,15 +38,15 @@
 
 // Random numbers of one generated case. rapidcheck generates only the seed: generating and shrinking each value would be too slow for cases
 // with thousands of steps.
-struct Dice
+struct TestRandom
 {
     Random Rng;
 
-    explicit Dice(uint64_t seed) : Rng(seed)
+    explicit TestRandom(uint64_t seed) : Rng(seed)
     {
     }
 
-    Dice() : Rng(*rc::gen::noShrink(rc::gen::arbitrary<uint64_t>()))
+    TestRandom() : Rng(*rc::gen::noShrink(rc::gen::arbitrary<uint64_t>()))
     {
     }
 
--- a/tests/cold_load_test.cpp
+++ b/tests/cold_load_test.cpp
@@ -95,7 +95,7 @@
     {
         pool.Config.ColdPerS = model->Plan.Limited ? ColdPerS : 0;
         pool.Config.ColdUs = ColdUs;
-        PoolFollow(&pool, all, "dc", &model->Rng);
+        PoolSync(&pool, all, "dc", &model->Rng);
     }
 }
 
@@ -107,7 +107,7 @@
     probes.LoadOf = [=](const std::string& id)
     {
         const LoadReport report = LoadOf(model, id);
-        PoolLearnShare(pool, report, own);
+        PoolUpdateShare(pool, report, own);
         return report;
     };
     return ProbeInTurn(pool, &probes);
@@ -334,10 +334,10 @@
         pool.Config.ColdUs = ColdUs;
         PoolTarget target;
         target.Order = 0;
-        PoolToldCold(pool.Config, &target, 13 * UsPerSecond);
+        PoolSetCold(pool.Config, &target, 13 * UsPerSecond);
         PoolReport(&target, LoadReport(), 12 * UsPerSecond);
-        CPPUNIT_ASSERT(!PoolMayTakeCold(pool, target, 12 * UsPerSecond));
-        CPPUNIT_ASSERT(PoolMayTakeCold(pool, target, 13 * UsPerSecond)); // The warm-up is over.
+        CPPUNIT_ASSERT(!PoolMaySendCold(pool, target, 12 * UsPerSecond));
+        CPPUNIT_ASSERT(PoolMaySendCold(pool, target, 13 * UsPerSecond)); // The warm-up is over.
     }
 };
 
--- a/tests/customers_test.cpp
+++ b/tests/customers_test.cpp
@@ -48,7 +48,7 @@
 
 static Gateway& StartForLongWork(Rig* rig, size_t targets)
 {
-    RigConfigureFor(rig, {LongRoute()}, {Anne, Ben});
+    RigConfigureWithCustomers(rig, {LongRoute()}, {Anne, Ben});
     return RigInstance(rig, targets);
 }
 
@@ -64,13 +64,13 @@
 }
 
 // The customer's name that a target received; "-" if none.
-static std::string CustomerSeen(const TargetSaw& saw)
+static std::string CustomerSeen(const ReceivedRequest& saw)
 {
     const std::string* name = FindHeader(saw.Headers, PlatformNames().Customer);
     return name != nullptr ? *name : "-";
 }
 
-static bool HoldsText(const TargetSaw& saw, const std::string& text)
+static bool HoldsText(const ReceivedRequest& saw, const std::string& text)
 {
     const auto holds = [&](const Header& header)
     {
@@ -81,7 +81,7 @@
 
 static void AwaitVersion(Rig* rig, const Gateway& instance)
 {
-    CPPUNIT_ASSERT(RigRun(rig, [&]() { return instance.Requests.Plan->Version == rig->Version; }));
+    CPPUNIT_ASSERT(RigRunUntil(rig, [&]() { return instance.Requests.Plan->Version == rig->Version; }));
 }
 
 class CustomersTest : public CPPUNIT_NS::TestFixture
@@ -175,10 +175,10 @@
     {
         Rig rig;
         const UsersTarget& target = RigTarget(&rig, "t");
-        RigConfigureFor(&rig, {UsersRoute()}, {Anne, Ben});
+        RigConfigureWithCustomers(&rig, {UsersRoute()}, {Anne, Ben});
         const Gateway& instance = RigInstance(&rig, 1);
-        CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, WithKey(AnnesKey)).Answer.Status);
-        CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, WithKey("bens-second-key")).Answer.Status);
+        CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&rig, instance, WithKey(AnnesKey)).Answer.Status);
+        CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&rig, instance, WithKey("bens-second-key")).Answer.Status);
         CPPUNIT_ASSERT_EQUAL(std::string("anne"), CustomerSeen(target.Saw[0]));
         CPPUNIT_ASSERT_EQUAL(std::string("ben"), CustomerSeen(target.Saw[1]));
         CPPUNIT_ASSERT(!HoldsText(target.Saw[0], AnnesKey));
@@ -188,11 +188,11 @@
     {
         Rig rig;
         const UsersTarget& target = RigTarget(&rig, "t");
-        RigConfigureFor(&rig, {UsersRoute()}, {Anne});
+        RigConfigureWithCustomers(&rig, {UsersRoute()}, {Anne});
         const Gateway& instance = RigInstance(&rig, 1);
         for (const RigCall& call : {RigCall(), WithKey(BensKey), WithKey("")})
         {
-            const RigAnswer answer = RigAsk(&rig, instance, call);
+            const RigAnswer answer = RigSendAndWait(&rig, instance, call);
             CPPUNIT_ASSERT_EQUAL(401, answer.Answer.Status);
             CPPUNIT_ASSERT_EQUAL(Text(Code_KeyUnknown), CodeOf(answer));
             CPPUNIT_ASSERT(FindHeader(answer.Answer.Headers, "WWW-Authenticate") != nullptr);
@@ -206,7 +206,7 @@
     {
         Rig rig;
         const UsersTarget& target = RigTarget(&rig, "t");
-        RigConfigureFor(&rig, {UsersRoute()}, {Anne});
+        RigConfigureWithCustomers(&rig, {UsersRoute()}, {Anne});
         const Gateway& instance = RigInstance(&rig, 1);
         const std::string name = PlatformNames().Customer;
         RawCaller caller(&rig.Loop, instance.Config.CallerAddress);
@@ -216,7 +216,7 @@
                             ": ben\r\nWINCHLINK-TENANT-ID: eve\r\nConnection: " + name +
                             ", Authorization\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\nAuthorization: " + bearer + "\r\n" + name +
                             ": eve\r\n\r\n");
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return caller.Read.find("HTTP/1.1 200") != std::string::npos; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return caller.Read.find("HTTP/1.1 200") != std::string::npos; }));
         CPPUNIT_ASSERT_EQUAL(size_t{1}, target.Saw.size());
         CPPUNIT_ASSERT(!HoldsText(target.Saw[0], AnnesKey));
         CPPUNIT_ASSERT(!HoldsText(target.Saw[0], "eve"));
@@ -230,13 +230,13 @@
         const UsersTarget& target = RigTarget(&rig, "t");
         UsersRoute route;
         route.Public = true;
-        RigConfigureFor(&rig, {route}, {Anne});
+        RigConfigureWithCustomers(&rig, {route}, {Anne});
         const Gateway& instance = RigInstance(&rig, 1);
         RigCall claims;
         claims.Headers = {{PlatformNames().Customer, "anne"}};
         for (const RigCall& call : {RigCall(), claims, WithKey(AnnesKey), WithKey(BensKey)})
         {
-            CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, call).Answer.Status);
+            CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&rig, instance, call).Answer.Status);
         }
         const std::vector<std::string> seen = {"-", "-", "anne", "-"};
         for (size_t n = 0; n < seen.size(); n++)
@@ -252,7 +252,7 @@
         const UsersTarget& target = RigTarget(&rig, "t");
         RigConfigure(&rig, {UsersRoute()});
         const Gateway& instance = RigInstance(&rig, 1);
-        CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, WithKey(AnnesKey)).Answer.Status);
+        CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&rig, instance, WithKey(AnnesKey)).Answer.Status);
         CPPUNIT_ASSERT(HoldsText(target.Saw[0], AnnesKey)); // Authorization is passed on unchanged.
     }
 
@@ -260,13 +260,13 @@
     {
         Rig rig;
         RigTarget(&rig, "t");
-        RigConfigureFor(&rig, {UsersRoute()}, {Anne, Ben});
+        RigConfigureWithCustomers(&rig, {UsersRoute()}, {Anne, Ben});
         const Gateway& instance = RigInstance(&rig, 1);
-        CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, WithKey(BensKey)).Answer.Status);
-        RigConfigureFor(&rig, {UsersRoute()}, {Anne, {"ben", {"bens-second-key"}}});
+        CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&rig, instance, WithKey(BensKey)).Answer.Status);
+        RigConfigureWithCustomers(&rig, {UsersRoute()}, {Anne, {"ben", {"bens-second-key"}}});
         AwaitVersion(&rig, instance);
-        CPPUNIT_ASSERT_EQUAL(401, RigAsk(&rig, instance, WithKey(BensKey)).Answer.Status);
-        CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, WithKey("bens-second-key")).Answer.Status);
+        CPPUNIT_ASSERT_EQUAL(401, RigSendAndWait(&rig, instance, WithKey(BensKey)).Answer.Status);
+        CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&rig, instance, WithKey("bens-second-key")).Answer.Status);
     }
 
     // All targets are busy: the key is revoked while the request waits for a free slot.
@@ -280,17 +280,17 @@
         for (int n = 1; n <= target.Slots; n++)
         {
             first = RigSend(&rig, instance, WithLongDeadline(AnnesKey));
-            CPPUNIT_ASSERT(RigRun(&rig, [&]() { return target.Running == n; }));
+            CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return target.Running == n; }));
         }
         const RigAnswerPtr second = RigSend(&rig, instance, WithLongDeadline(BensKey));
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.InProgress == target.Slots + 1; }));
-        RigConfigureFor(&rig, {LongRoute()}, {Anne});
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return instance.Requests.InProgress == target.Slots + 1; }));
+        RigConfigureWithCustomers(&rig, {LongRoute()}, {Anne});
         AwaitVersion(&rig, instance);
         CPPUNIT_ASSERT(!first->Done);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return first->Done && second->Done; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return first->Done && second->Done; }));
         CPPUNIT_ASSERT_EQUAL(200, first->Answer.Status);
         CPPUNIT_ASSERT_EQUAL(401, second->Answer.Status);
-        CPPUNIT_ASSERT_EQUAL(0, RigRuns(rig, second->Id));
+        CPPUNIT_ASSERT_EQUAL(0, RigRunCount(rig, second->Id));
     }
 
     void ARequestIsNotRetriedOnceItsKeyIsRevoked()
@@ -303,29 +303,29 @@
         two.Script = {TargetAct_Reset};
         Gateway& instance = StartForLongWork(&rig, 2);
         const RigAnswerPtr answer = RigSend(&rig, instance, WithLongDeadline(BensKey));
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return one.Running + two.Running == 1; }));
-        RigConfigureFor(&rig, {LongRoute()}, {Anne});
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return one.Running + two.Running == 1; }));
+        RigConfigureWithCustomers(&rig, {LongRoute()}, {Anne});
         AwaitVersion(&rig, instance);
         CPPUNIT_ASSERT(!answer->Done);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return answer->Done; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return answer->Done; }));
         CPPUNIT_ASSERT_EQUAL(502, answer->Answer.Status); // The attempt may have run.
-        CPPUNIT_ASSERT_EQUAL(1, RigRuns(rig, answer->Id));
+        CPPUNIT_ASSERT_EQUAL(1, RigRunCount(rig, answer->Id));
     }
 
     void AnUnknownKeyIsNotFinalWhileTheStoreIsAway()
     {
         Rig rig;
         RigTarget(&rig, "t");
-        RigConfigureFor(&rig, {UsersRoute()}, {Anne});
+        RigConfigureWithCustomers(&rig, {UsersRoute()}, {Anne});
         const Gateway& instance = RigInstance(&rig, 1);
         UsersStoreSetMode(&rig.Store, StoreMode_Refusing);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.Directory.InTrouble; }));
-        const RigAnswer unknown = RigAsk(&rig, instance, WithKey(BensKey));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return instance.Requests.Directory.StoreUnavailable; }));
+        const RigAnswer unknown = RigSendAndWait(&rig, instance, WithKey(BensKey));
         CPPUNIT_ASSERT_EQUAL(503, unknown.Answer.Status);
         CPPUNIT_ASSERT_EQUAL(Text(Code_KeyNotLearnt), CodeOf(unknown));
         CPPUNIT_ASSERT(FindHeader(unknown.Answer.Headers, "Retry-After") != nullptr);
-        CPPUNIT_ASSERT_EQUAL(401, RigAsk(&rig, instance, RigCall()).Answer.Status); // A missing key is unknown in every plan.
-        CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, WithKey(AnnesKey)).Answer.Status);
+        CPPUNIT_ASSERT_EQUAL(401, RigSendAndWait(&rig, instance, RigCall()).Answer.Status); // A missing key is unknown in every plan.
+        CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&rig, instance, WithKey(AnnesKey)).Answer.Status);
     }
 
     void WithoutAPlanNoKeyIsUnknown()
@@ -333,7 +333,7 @@
         Rig rig;
         UsersStoreSetMode(&rig.Store, StoreMode_Refusing);
         const Gateway& instance = RigStart(&rig);
-        const RigAnswer answer = RigAsk(&rig, instance, WithKey(AnnesKey));
+        const RigAnswer answer = RigSendAndWait(&rig, instance, WithKey(AnnesKey));
         CPPUNIT_ASSERT_EQUAL(503, answer.Answer.Status);
         CPPUNIT_ASSERT_EQUAL(Text(Code_NoTable), CodeOf(answer));
     }
@@ -343,13 +343,13 @@
     {
         Rig rig;
         RigTarget(&rig, "t");
-        RigConfigureFor(&rig, {UsersRoute()}, {Anne, Ben});
+        RigConfigureWithCustomers(&rig, {UsersRoute()}, {Anne, Ben});
         Settings settings = RigSettings(rig);
         settings.PeerAddress = FreeAddress();
         const Gateway& instance = RigStartWith(&rig, settings);
-        RigAwait(&rig, instance, 1);
-        CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, WithKey(AnnesKey)).Answer.Status);
-        CPPUNIT_ASSERT_EQUAL(401, RigAsk(&rig, instance, WithKey("planted-unknown-key")).Answer.Status);
+        RigWaitForPlan(&rig, instance, 1);
+        CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&rig, instance, WithKey(AnnesKey)).Answer.Status);
+        CPPUNIT_ASSERT_EQUAL(401, RigSendAndWait(&rig, instance, WithKey("planted-unknown-key")).Answer.Status);
         std::string told;
         for (const auto& entry : instance.Peers.Items)
         {
@@ -374,7 +374,7 @@
         route.TimeoutS = 15;
         UsersCustomer urgent = Ben;
         urgent.Priority = 0;
-        RigConfigureFor(&rig, {route}, {Anne, urgent});
+        RigConfigureWithCustomers(&rig, {route}, {Anne, urgent});
         Gateway& instance = RigInstance(&rig, 1);
         for (const std::string& key : {AnnesKey, AnnesKey, AnnesKey, AnnesKey, BensKey}) // Three get a slot at once.
         {
@@ -382,7 +382,7 @@
             call.DeadlineMs = 15000;
             const int before = instance.Requests.InProgress;
             RigSend(&rig, instance, call);
-            CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.InProgress == before + 1; }));
+            CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return instance.Requests.InProgress == before + 1; }));
         }
         ServiceState& service = instance.Requests.Services.at("svc");
         const auto waits = [](const std::weak_ptr<Call>& entry)
@@ -390,7 +390,7 @@
             const CallPtr call = entry.lock();
             return call && call->ProbeRetryTimer;
         };
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return std::count_if(service.Waiting.begin(), service.Waiting.end(), waits) == 2; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return std::count_if(service.Waiting.begin(), service.Waiting.end(), waits) == 2; }));
         std::vector<CallPtr> waiting;
         for (const std::weak_ptr<Call>& entry : service.Waiting)
         {
@@ -413,7 +413,7 @@
     {
         Rig rig;
         RigTarget(&rig, "t");
-        RigConfigureFor(&rig, {UsersRoute()}, {Anne});
+        RigConfigureWithCustomers(&rig, {UsersRoute()}, {Anne});
         const Gateway& instance = RigInstance(&rig, 1);
         const uint64_t before = instance.Requests.Plan->Version;
         for (const char* tenants : {"7", "[7]", "[{\"name\":\"x\"}]", "[{\"name\":\"x\",\"apiKeys\":[7]}]", "[{\"apiKeys\":[]}]",
@@ -428,11 +428,11 @@
             {
                 return instance.Store.Following.Revision >= rig.Store.Revision && instance.PendingBatches.empty();
             };
-            CPPUNIT_ASSERT_MESSAGE(tenants, RigRun(&rig, read));
+            CPPUNIT_ASSERT_MESSAGE(tenants, RigRunUntil(&rig, read));
             CPPUNIT_ASSERT_EQUAL_MESSAGE(tenants, size_t{1}, instance.Invalid.size());
             CPPUNIT_ASSERT_EQUAL(before, instance.Requests.Plan->Version);
         }
-        CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, WithKey(AnnesKey)).Answer.Status);
+        CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&rig, instance, WithKey(AnnesKey)).Answer.Status);
     }
 };
 
--- a/tests/directory_test.cpp
+++ b/tests/directory_test.cpp
@@ -42,7 +42,7 @@
         CHECK_PROPERTY("after a last whole read, the directory holds what the store holds",
                        []()
                        {
-                           Dice dice;
+                           TestRandom dice;
                            TargetDirectory directory;
                            std::map<std::string, DirectoryTarget> store;
                            std::vector<std::pair<DirectoryTarget, bool>> changes; // Entry, and whether it was removed.
@@ -72,7 +72,7 @@
                                {
                                    DirectoryPut(&directory, received.first, now);
                                }
-                               DirectoryTick(&directory, now);
+                               DirectoryRemoveExpired(&directory, now);
                            }
                            std::set<std::string> ids;
                            for (const auto& entry : store)
@@ -80,8 +80,8 @@
                                DirectoryPut(&directory, entry.second, now);
                                ids.insert(entry.first);
                            }
-                           DirectoryKeep(&directory, ids, revision, now);
-                           DirectoryTick(&directory, now + 10 * UsPerSecond);
+                           DirectoryKeepOnly(&directory, ids, revision, now);
+                           DirectoryRemoveExpired(&directory, now + 10 * UsPerSecond);
                            RC_ASSERT(directory.Targets.size() == store.size());
                            for (const auto& entry : store)
                            {
@@ -94,9 +94,9 @@
     {
         TargetDirectory directory;
         DirectoryPut(&directory, Entry("t", 5), 0);
-        DirectoryLeaves(&directory, "t"); // Announced by the target itself, before its entry in the store changes.
+        DirectoryMarkReplaced(&directory, "t"); // Announced by the target itself, before its entry in the store changes.
         DirectoryPut(&directory, Entry("t", 6), 0);
-        CPPUNIT_ASSERT_EQUAL(Presence_Leaving, PresenceOf(directory, "t"));
+        CPPUNIT_ASSERT_EQUAL(Presence_Draining, PresenceOf(directory, "t"));
         DirectoryRemove(&directory, "t", 7, 0);
         CPPUNIT_ASSERT_EQUAL(Presence_COUNT, PresenceOf(directory, "t"));
     }
@@ -109,14 +109,14 @@
         DirectoryRemove(&directory, "t", 4, went); // Older than the entry.
         CPPUNIT_ASSERT_EQUAL(Presence_Ready, PresenceOf(directory, "t"));
         DirectoryRemove(&directory, "t", 6, went);
-        CPPUNIT_ASSERT_EQUAL(Presence_Vanished, PresenceOf(directory, "t"));
+        CPPUNIT_ASSERT_EQUAL(Presence_Missing, PresenceOf(directory, "t"));
         DirectoryPut(&directory, Entry("t", 5), went); // Arrives late: the entry was removed since.
-        CPPUNIT_ASSERT_EQUAL(Presence_Vanished, PresenceOf(directory, "t"));
-        CPPUNIT_ASSERT(!DirectoryTick(&directory, went + directory.Config.VanishedUs - 1));
-        CPPUNIT_ASSERT(DirectoryTick(&directory, went + directory.Config.VanishedUs));
+        CPPUNIT_ASSERT_EQUAL(Presence_Missing, PresenceOf(directory, "t"));
+        CPPUNIT_ASSERT(!DirectoryRemoveExpired(&directory, went + directory.Config.MissingKeptUs - 1));
+        CPPUNIT_ASSERT(DirectoryRemoveExpired(&directory, went + directory.Config.MissingKeptUs));
         CPPUNIT_ASSERT(directory.Targets.empty());
         // A target keeps serving for two seconds after its entry was removed; it must get no request after that.
-        CPPUNIT_ASSERT(directory.Config.VanishedUs < 2 * UsPerSecond);
+        CPPUNIT_ASSERT(directory.Config.MissingKeptUs < 2 * UsPerSecond);
     }
 
     // Evacuations and target entries may arrive late, repeatedly and in any order; the highest revision decides.
@@ -125,7 +125,7 @@
         CHECK_PROPERTY("after a last whole read, targets are evacuated where the store says so, and nowhere else",
                        []()
                        {
-                           Dice dice;
+                           TestRandom dice;
                            TargetDirectory directory;
                            std::map<std::string, bool> store; // Whether each data centre is evacuated.
                            std::vector<std::pair<std::string, Evacuation>> evacuations;
@@ -151,7 +151,7 @@
                                    DirectoryEvacuate(&directory, entry.first, {true, revision});
                                }
                            }
-                           DirectoryKeepEvacuated(&directory, evacuated, revision);
+                           DirectoryKeepOnlyEvacuated(&directory, evacuated, revision);
                            for (const auto& entry : directory.Targets)
                            {
                                RC_ASSERT(entry.second.Evacuated == (evacuated.count(entry.second.DataCentre) > 0));
@@ -165,7 +165,7 @@
         CPPUNIT_ASSERT(DirectoryEvacuate(&directory, "dc", {true, 7}));
         CPPUNIT_ASSERT(!DirectoryEvacuate(&directory, "dc", {true, 7}));
         CPPUNIT_ASSERT(!DirectoryEvacuate(&directory, "dc", {false, 6}));
-        CPPUNIT_ASSERT(DirectoryKeepEvacuated(&directory, {}, 6).empty()); // Read before the evacuation began.
+        CPPUNIT_ASSERT(DirectoryKeepOnlyEvacuated(&directory, {}, 6).empty()); // Read before the evacuation began.
         DirectoryTarget target = Entry("t", 5);
         target.DataCentre = "dc";
         DirectoryPut(&directory, target, 0);
@@ -174,7 +174,7 @@
         CPPUNIT_ASSERT(!directory.Targets.at("t").Evacuated);
         CPPUNIT_ASSERT(!DirectoryEvacuate(&directory, "dc", {true, 8})); // Arrives late: the evacuation has ended since.
         CPPUNIT_ASSERT(DirectoryEvacuate(&directory, "dc", {true, 10}));
-        CPPUNIT_ASSERT_EQUAL(size_t{1}, DirectoryKeepEvacuated(&directory, {}, 11).size());
+        CPPUNIT_ASSERT_EQUAL(size_t{1}, DirectoryKeepOnlyEvacuated(&directory, {}, 11).size());
         CPPUNIT_ASSERT(!directory.Targets.at("t").Evacuated);
     }
 
@@ -182,13 +182,13 @@
     {
         TargetDirectory directory;
         DirectoryPut(&directory, Entry("t", 5), 0);
-        DirectoryTrouble(&directory, 20 * UsPerSecond);
+        DirectoryStoreFailed(&directory, 20 * UsPerSecond);
         const TimeUs returned = 24 * UsPerSecond;
-        DirectoryAnswered(&directory, returned);
-        DirectoryKeep(&directory, {}, 9, returned);
-        CPPUNIT_ASSERT_EQUAL(Presence_Vanished, PresenceOf(directory, "t"));
-        DirectoryTick(&directory, returned + 2 * UsPerSecond); // Targets write their entries again within two seconds.
-        CPPUNIT_ASSERT_EQUAL(Presence_Vanished, PresenceOf(directory, "t"));
+        DirectoryStoreAnswered(&directory, returned);
+        DirectoryKeepOnly(&directory, {}, 9, returned);
+        CPPUNIT_ASSERT_EQUAL(Presence_Missing, PresenceOf(directory, "t"));
+        DirectoryRemoveExpired(&directory, returned + 2 * UsPerSecond); // Targets write their entries again within two seconds.
+        CPPUNIT_ASSERT_EQUAL(Presence_Missing, PresenceOf(directory, "t"));
         DirectoryPut(&directory, Entry("t", 10), returned + 2 * UsPerSecond);
         CPPUNIT_ASSERT_EQUAL(Presence_Ready, PresenceOf(directory, "t"));
     }
