--- a/tests/evacuation_test.cpp
+++ b/tests/evacuation_test.cpp
@@ -24,7 +24,7 @@
         const TargetPool& pool = instance.Requests.Services.at("svc").Pool;
         return IsEvacuated(instance, data_centre) == in_force && (pool.Evacuated > 0) == in_force;
     };
-    CPPUNIT_ASSERT(RigRun(rig, done));
+    CPPUNIT_ASSERT(RigRunUntil(rig, done));
 }
 
 // Sends `count` requests in sequence; all must be answered with 200.
@@ -32,7 +32,7 @@
 {
     for (int n = 0; n < count; n++)
     {
-        CPPUNIT_ASSERT_EQUAL(200, RigAsk(rig, instance, RigCall()).Answer.Status);
+        CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(rig, instance, RigCall()).Answer.Status);
     }
 }
 
@@ -81,7 +81,7 @@
         CPPUNIT_ASSERT_EQUAL(size_t{2}, near.Saw.size());
         CPPUNIT_ASSERT_EQUAL(size_t{3}, far.Saw.size());
         CPPUNIT_ASSERT_EQUAL(asked, near.HealthAsked); // Its targets get no load probes either.
-        UsersStoreGiveBack(&rig.Store, "dc-a");
+        UsersStoreEndEvacuation(&rig.Store, "dc-a");
         AwaitEvacuated(&rig, instance, "dc-a", false);
         AskGood(&rig, instance, 3);
         CPPUNIT_ASSERT(near.Saw.size() > 2);
@@ -92,8 +92,8 @@
         Rig rig;
         UsersTarget& near = RigTarget(&rig, "near", "svc", "dc-a");
         UsersTarget& far = RigTarget(&rig, "far", "svc", "dc-b");
-        near.TellsLoad = false;
-        far.TellsLoad = false;
+        near.SendsLoad = false;
+        far.SendsLoad = false;
         RigConfigure(&rig, {UsersRoute()});
         const Gateway& instance = RigInstance(&rig, 2);
         AskGood(&rig, instance, 2);
@@ -115,10 +115,10 @@
         RigCall unsafe;
         unsafe.Method = "POST";
         const RigAnswerPtr answer = RigSend(&rig, instance, unsafe);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return near.Running == 1; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return near.Running == 1; }));
         UsersStoreEvacuate(&rig.Store, "dc-a");
         AwaitEvacuated(&rig, instance, "dc-a", true);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return answer->Done; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return answer->Done; }));
         CPPUNIT_ASSERT_EQUAL(200, answer->Answer.Status);
         CPPUNIT_ASSERT(!near.Saw.at(0).Cancelled);
     }
@@ -136,13 +136,13 @@
         RigCall call;
         call.DeadlineMs = 10000;
         const RigAnswerPtr answer = RigSend(&rig, instance, call);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return near.Running == 1; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return near.Running == 1; }));
         UsersStoreEvacuate(&rig.Store, "dc-a");
         AwaitEvacuated(&rig, instance, "dc-a", true);
-        UsersStoreGiveBack(&rig.Store, "dc-a");
+        UsersStoreEndEvacuation(&rig.Store, "dc-a");
         AwaitEvacuated(&rig, instance, "dc-a", false);
         CPPUNIT_ASSERT(!answer->Done);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return answer->Done; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return answer->Done; }));
         CPPUNIT_ASSERT_EQUAL(0, PoolFind(&instance.Requests.Services.at("svc").Pool, "near")->InFlight);
     }
 
@@ -167,12 +167,12 @@
         for (int n = 0; n < 4; n++)
         {
             filling.push_back(RigSend(&rig, instance, call));
-            CPPUNIT_ASSERT(RigRun(&rig, [&]() { return near.Running + far.Running == n + 1; }));
+            CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return near.Running + far.Running == n + 1; }));
         }
         const RigAnswerPtr waiting = RigSend(&rig, instance, call);
         UsersStoreEvacuate(&rig.Store, "dc-a");
         AwaitEvacuated(&rig, instance, "dc-a", true);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return waiting->Done; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return waiting->Done; }));
         CPPUNIT_ASSERT_EQUAL(200, waiting->Answer.Status);
         CPPUNIT_ASSERT_EQUAL(size_t{2}, near.Saw.size());
         CPPUNIT_ASSERT_EQUAL(size_t{3}, far.Saw.size());
@@ -209,12 +209,12 @@
         AwaitEvacuated(&rig, instance, "dc-a", true);
         RigCall call;
         call.DeadlineMs = 110000;
-        const RigAnswer answer = RigAsk(&rig, instance, call);
+        const RigAnswer answer = RigSendAndWait(&rig, instance, call);
         CPPUNIT_ASSERT_EQUAL(503, answer.Answer.Status);
         CPPUNIT_ASSERT_EQUAL(EvacuatedCode, CodeOf(answer));
         CPPUNIT_ASSERT(FindHeader(answer.Answer.Headers, "Retry-After") != nullptr);
         CPPUNIT_ASSERT(near.Saw.empty());
-        UsersStoreGiveBack(&rig.Store, "dc-a");
+        UsersStoreEndEvacuation(&rig.Store, "dc-a");
         AwaitEvacuated(&rig, instance, "dc-a", false);
         AskGood(&rig, instance, 1);
     }
@@ -229,14 +229,14 @@
         const Gateway& instance = RigInstance(&rig, 3);
         UsersStoreEvacuate(&rig.Store, "dc-a");
         UsersStoreEvacuate(&rig.Store, "dc-b");
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.Services.at("svc").Pool.Evacuated == 2; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return instance.Requests.Services.at("svc").Pool.Evacuated == 2; }));
         AskGood(&rig, instance, 2);
         CPPUNIT_ASSERT_EQUAL(size_t{2}, c.Saw.size());
-        UsersStoreGiveBack(&rig.Store, "dc-a");
+        UsersStoreEndEvacuation(&rig.Store, "dc-a");
         UsersStoreEvacuate(&rig.Store, "dc-c");
-        UsersStoreGiveBack(&rig.Store, "dc-b");
+        UsersStoreEndEvacuation(&rig.Store, "dc-b");
         UsersStoreEvacuate(&rig.Store, "dc-a");
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return IsEvacuated(instance, "dc-c") && IsEvacuated(instance, "dc-a"); }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return IsEvacuated(instance, "dc-c") && IsEvacuated(instance, "dc-a"); }));
         AwaitEvacuated(&rig, instance, "dc-a", true);
         CPPUNIT_ASSERT(!IsEvacuated(instance, "dc-b"));
         AskGood(&rig, instance, 2);
@@ -252,7 +252,7 @@
         RigConfigure(&rig, {UsersRoute()});
         const Gateway& instance = RigInstance(&rig, 1);
         UsersStoreEvacuate(&rig.Store, "no such place");
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return IsEvacuated(instance, "no such place"); }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return IsEvacuated(instance, "no such place"); }));
         CPPUNIT_ASSERT_EQUAL(0, instance.Requests.Services.at("svc").Pool.Evacuated);
         AskGood(&rig, instance, 1);
     }
@@ -264,7 +264,7 @@
         RigConfigure(&rig, {UsersRoute()});
         const Gateway& instance = RigInstance(&rig, 1);
         UsersStoreEvacuate(&rig.Store, "dc-a");
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return IsEvacuated(instance, "dc-a"); }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return IsEvacuated(instance, "dc-a"); }));
         const UsersTarget& joined = RigTarget(&rig, "joined", "svc", "dc-a");
         AwaitEvacuated(&rig, instance, "dc-a", true);
         AskGood(&rig, instance, 3);
@@ -280,10 +280,10 @@
         RigConfigure(&rig, {UsersRoute()});
         UsersStoreEvacuate(&rig.Store, "dc-a");
         const Gateway& instance = RigStart(&rig);
-        const RigAnswer answer = RigAsk(&rig, instance, RigCall()); // Possibly before the instance has a plan.
+        const RigAnswer answer = RigSendAndWait(&rig, instance, RigCall()); // Possibly before the instance has a plan.
         CPPUNIT_ASSERT_EQUAL(503, answer.Answer.Status);
-        RigAwait(&rig, instance, 1);
-        CPPUNIT_ASSERT_EQUAL(EvacuatedCode, CodeOf(RigAsk(&rig, instance, RigCall())));
+        RigWaitForPlan(&rig, instance, 1);
+        CPPUNIT_ASSERT_EQUAL(EvacuatedCode, CodeOf(RigSendAndWait(&rig, instance, RigCall())));
         CPPUNIT_ASSERT(near.Saw.empty());
         CPPUNIT_ASSERT_EQUAL(0, near.HealthAsked);
     }
@@ -298,10 +298,10 @@
         UsersStoreEvacuate(&rig.Store, "dc-a");
         AwaitEvacuated(&rig, instance, "dc-a", true);
         UsersStoreSetMode(&rig.Store, StoreMode_Refusing);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.Directory.InTrouble; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return instance.Requests.Directory.StoreUnavailable; }));
         AskGood(&rig, instance, 3);
         UsersStoreSetMode(&rig.Store, StoreMode_Good);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return !instance.Requests.Directory.InTrouble; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return !instance.Requests.Directory.StoreUnavailable; }));
         AskGood(&rig, instance, 3);
         CPPUNIT_ASSERT(near.Saw.empty());
         CPPUNIT_ASSERT(IsEvacuated(instance, "dc-a"));
@@ -316,7 +316,7 @@
         first.PeerAddress = FreeAddress();
         first.Peers = {first.PeerAddress};
         const Gateway& reader = RigStartWith(&rig, first);
-        RigAwait(&rig, reader, 1);
+        RigWaitForPlan(&rig, reader, 1);
         UsersStoreEvacuate(&rig.Store, "dc-a");
         AwaitEvacuated(&rig, reader, "dc-a", true);
         UsersStoreSetMode(&rig.Store, StoreMode_Refusing);
@@ -324,8 +324,8 @@
         second.PeerAddress = FreeAddress();
         second.Peers = first.Peers;
         const Gateway& started = RigStartWith(&rig, second);
-        RigAwait(&rig, started, 1);
-        CPPUNIT_ASSERT_EQUAL(EvacuatedCode, CodeOf(RigAsk(&rig, started, RigCall())));
+        RigWaitForPlan(&rig, started, 1);
+        CPPUNIT_ASSERT_EQUAL(EvacuatedCode, CodeOf(RigSendAndWait(&rig, started, RigCall())));
         CPPUNIT_ASSERT(near.Saw.empty());
     }
 
@@ -344,15 +344,15 @@
         second.PeerAddress = FreeAddress();
         second.Peers = first.Peers;
         const Gateway& follower = RigStartWith(&rig, second);
-        RigAwait(&rig, follower, 2);
-        RigAwait(&rig, seed_instance, 2);
+        RigWaitForPlan(&rig, follower, 2);
+        RigWaitForPlan(&rig, seed_instance, 2);
         UsersStoreEvacuate(&rig.Store, "dc-a");
         AwaitEvacuated(&rig, follower, "dc-a", true);
         AwaitEvacuated(&rig, seed_instance, "dc-a", true);
         AskGood(&rig, seed_instance, 2);
         AskGood(&rig, follower, 2);
         CPPUNIT_ASSERT(near.Saw.empty());
-        UsersStoreGiveBack(&rig.Store, "dc-a");
+        UsersStoreEndEvacuation(&rig.Store, "dc-a");
         AwaitEvacuated(&rig, seed_instance, "dc-a", false);
     }
 
@@ -366,13 +366,13 @@
         const Gateway& instance = RigInstance(&rig, 2);
         UsersStoreEvacuate(&rig.Store, "dc-b");
         AwaitEvacuated(&rig, instance, "dc-b", true);
-        UsersStoreSetMode(&rig.Store, StoreMode_Deaf);
+        UsersStoreSetMode(&rig.Store, StoreMode_NoChanges);
         UsersStoreEvacuate(&rig.Store, "dc-a");
-        UsersStoreGiveBack(&rig.Store, "dc-b");
-        RigIdle(&rig, 50 * UsPerMs);
+        UsersStoreEndEvacuation(&rig.Store, "dc-b");
+        RigRunFor(&rig, 50 * UsPerMs);
         UsersStoreSetMode(&rig.Store, StoreMode_Good);
         UsersStoreCompact(&rig.Store);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return IsEvacuated(instance, "dc-a") && !IsEvacuated(instance, "dc-b"); }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return IsEvacuated(instance, "dc-a") && !IsEvacuated(instance, "dc-b"); }));
         CPPUNIT_ASSERT_EQUAL(size_t{1}, instance.Requests.Services.at("svc").Pool.Targets.size());
     }
 
@@ -390,7 +390,7 @@
         CPPUNIT_ASSERT(status.find("\"dataCentre\": \"dc-a\",\n   \"revision\": " + std::to_string(rig.Store.Revision)) !=
                        std::string::npos);
         CPPUNIT_ASSERT(status.find("\"evacuatedTargets\": 1") != std::string::npos);
-        UsersStoreGiveBack(&rig.Store, "dc-a");
+        UsersStoreEndEvacuation(&rig.Store, "dc-a");
         AwaitEvacuated(&rig, instance, "dc-a", false);
         CPPUNIT_ASSERT(MetricsText(instance).find("winchlink_evacuated{dataCentre=\"dc-a\"} 0\n") != std::string::npos);
     }
--- a/tests/fanout_load_test.cpp
+++ b/tests/fanout_load_test.cpp
@@ -38,9 +38,9 @@
     return fleet;
 }
 
-static NewsHolder HolderFor(const FanoutFleet& fleet, const FanoutInstance& holder, const std::string& data_centre)
+static UpdateServer HolderFor(const FanoutFleet& fleet, const FanoutInstance& holder, const std::string& data_centre)
 {
-    NewsHolder known;
+    UpdateServer known;
     known.Revision = 1;
     known.DataCentre = holder.DataCentre;
     for (const int follower : holder.Followers)
@@ -73,13 +73,14 @@
     for (int calls = 1;; calls++)
     {
         FanoutInstance& holder = fleet->Instances[static_cast<size_t>(at)];
-        NewsAsker asker;
+        UpdateRequest asker;
         asker.Address = self.Address;
         asker.DataCentre = self.DataCentre;
         asker.Seed = is_seed;
         asker.After = 1;
-        const NewsAnswer answer = FanoutAsked(&holder.Spread, asker, HolderFor(*fleet, holder, self.DataCentre), fleet->Now, &fleet->Rng);
-        if (answer.Action != NewsVerdict_SendOn)
+        const UpdateDecision answer =
+            FanoutDecide(&holder.Spread, asker, HolderFor(*fleet, holder, self.DataCentre), fleet->Now, &fleet->Rng);
+        if (answer.Action != UpdateAction_Redirect)
         {
             self.Follows = at;
             holder.Followers.push_back(instance);
@@ -128,8 +129,8 @@
             int calls = 0;
             const FanoutFleet fleet = MakeJoinedFleet(instances, data_centres, &calls);
             const FanoutConfig config;
-            // Each seed serves FarMost followers in each other data centre, and the seeds follow one of the seeds.
-            const int allowed = SeedCount * (data_centres - 1) * static_cast<int>(config.FarMost) + SeedCount;
+            // Each seed serves RemoteFollowersMax followers in each other data centre, and the seeds follow one of the seeds.
+            const int allowed = SeedCount * (data_centres - 1) * static_cast<int>(config.RemoteFollowersMax) + SeedCount;
             CPPUNIT_ASSERT(CountRemoteFollowers(fleet) <= allowed);
             CPPUNIT_ASSERT(calls <= 5);
         }
@@ -140,7 +141,7 @@
         int calls = 0;
         for (const FanoutInstance& one : MakeJoinedFleet(1200, 6, &calls).Instances)
         {
-            CPPUNIT_ASSERT(one.Followers.size() <= one.Spread.Config.FollowersMost);
+            CPPUNIT_ASSERT(one.Followers.size() <= one.Spread.Config.FollowersMax);
         }
     }
 
@@ -148,38 +149,38 @@
     {
         Fanout spread;
         Random random(1);
-        NewsHolder holder;
+        UpdateServer holder;
         holder.Revision = 1;
         holder.DataCentre = "here";
         int here = 0;
         for (int n = 0; n < 6; n++)
         {
-            NewsAsker asker;
+            UpdateRequest asker;
             asker.FullRead = true;
             asker.Address = fmt::format("10.0.0.{}:80", n + 1);
             asker.DataCentre = "there";
-            const NewsAnswer answer = FanoutAsked(&spread, asker, holder, UsPerSecond, &random);
-            here += answer.Action == NewsVerdict_Answer ? 1 : 0;
-            CPPUNIT_ASSERT(answer.Action == NewsVerdict_Answer || !answer.Elsewhere.empty());
+            const UpdateDecision answer = FanoutDecide(&spread, asker, holder, UsPerSecond, &random);
+            here += answer.Action == UpdateAction_Answer ? 1 : 0;
+            CPPUNIT_ASSERT(answer.Action == UpdateAction_Answer || !answer.Elsewhere.empty());
         }
-        CPPUNIT_ASSERT_EQUAL(static_cast<int>(spread.Config.FarMost), here);
+        CPPUNIT_ASSERT_EQUAL(static_cast<int>(spread.Config.RemoteFollowersMax), here);
     }
 
     void ALostStoreIsReportedWithoutARedirect()
     {
         Fanout spread;
         Random random(1);
-        NewsHolder holder;
+        UpdateServer holder;
         holder.Revision = 1;
         holder.StoreLost = true;
         holder.DataCentre = "here";
         holder.Followers = {"10.0.0.1:80", "10.0.0.2:80"};
         holder.Nearby = holder.Followers;
-        NewsAsker asker;
+        UpdateRequest asker;
         asker.Address = "10.0.0.3:80";
         asker.DataCentre = "there";
         asker.After = 1;
-        CPPUNIT_ASSERT_EQUAL(NewsVerdict_Answer, FanoutAsked(&spread, asker, holder, UsPerSecond, &random).Action);
+        CPPUNIT_ASSERT_EQUAL(UpdateAction_Answer, FanoutDecide(&spread, asker, holder, UsPerSecond, &random).Action);
     }
 
     // Counter-check: without data centres in the requests, most followers have a source in another data centre.
--- a/tests/follow_load_test.cpp
+++ b/tests/follow_load_test.cpp
@@ -44,7 +44,7 @@
 {
     size_t From = 0;   // Index of the waiting instance.
     uint64_t Call = 0; // Id of its call.
-    NewsAsker Asker;
+    UpdateRequest Asker;
 };
 
 struct ModelInstance
@@ -171,13 +171,13 @@
     StartCall(model, instance);
 }
 
-SourceNews SourceStateOf(const Model& model, const ModelInstance& self)
+SourceStatus SourceStateOf(const Model& model, const ModelInstance& self)
 {
     const Follow& following = self.Following;
     return {following.Revision, model.Now - following.FreshUs, self.Lost, self.Lost ? model.Now - self.TriedUs : 0, following.Origin};
 }
 
-void OnSourceAnswer(Model* model, size_t instance, uint64_t call, const SourceNews& news);
+void OnSourceAnswer(Model* model, size_t instance, uint64_t call, const SourceStatus& news);
 
 void SendAnswer(Model* model, size_t server, const ModelWait& wait)
 {
@@ -193,12 +193,12 @@
     self.LinkUs = wait.Asker.FullRead ? std::max(self.LinkUs, sent) + TransferUs : self.LinkUs;
     const TimeUs there = (wait.Asker.FullRead ? self.LinkUs : sent) + OneWayUs;
     const TimeUs read = wait.Asker.FullRead ? EverythingUs : MessageUs;
-    const SourceNews news = SourceStateOf(*model, self);
+    const SourceStatus news = SourceStateOf(*model, self);
     ScheduleAt(model, there,
                [=]() { ScheduleAt(model, QueueWork(model, to, model->Now, read), [=]() { OnSourceAnswer(model, to, call, news); }); });
 }
 
-void EndWaits(Model* model, size_t server, const std::function<bool(const NewsAsker&)>& ends)
+void EndWaits(Model* model, size_t server, const std::function<bool(const UpdateRequest&)>& ends)
 {
     std::vector<ModelWait> ending;
     for (const auto& entry : model->Fleet[server].Waits)
@@ -221,12 +221,12 @@
     self.ToldUs = model->Now;
     self.ToldFreshUs = self.Following.FreshUs;
     const bool knows = self.Following.Revision != 0;
-    EndWaits(model, server, [knows](const NewsAsker& asker) { return !asker.AskStore && (knows || !asker.FullRead); });
+    EndWaits(model, server, [knows](const UpdateRequest& asker) { return !asker.AskStore && (knows || !asker.FullRead); });
 }
 
 void AnswerLeads(Model* model, size_t server)
 {
-    EndWaits(model, server, [](const NewsAsker& asker) { return asker.AskStore; });
+    EndWaits(model, server, [](const UpdateRequest& asker) { return asker.AskStore; });
 }
 
 void OnStoreLost(Model* model, size_t instance, TimeUs tried)
@@ -237,7 +237,7 @@
     self.TriedUs = std::max(self.TriedUs, tried);
     if (self.Following.Revision == 0)
     {
-        EndWaits(model, instance, [](const NewsAsker& asker) { return asker.FullRead && asker.StoreLost && !asker.AskStore; });
+        EndWaits(model, instance, [](const UpdateRequest& asker) { return asker.FullRead && asker.StoreLost && !asker.AskStore; });
     }
     else if (tell)
     {
@@ -246,7 +246,7 @@
     AnswerLeads(model, instance);
 }
 
-void OnSourceAnswer(Model* model, size_t instance, uint64_t call, const SourceNews& news)
+void OnSourceAnswer(Model* model, size_t instance, uint64_t call, const SourceStatus& news)
 {
     ModelInstance& self = model->Fleet[instance];
     if (self.State != ModelState_Up || self.Call != call)
@@ -256,18 +256,18 @@
     self.Call = 0;
     const uint64_t before = self.Following.Revision;
     const bool from_store = self.Following.Next.Kind == SourceKind_Store;
-    const FollowVerdict_ verdict = FollowHeard(&self.Following, news, model->Now, &model->Rng);
-    model->SourcesLeft += verdict == FollowVerdict_Behind || verdict == FollowVerdict_Ours ? 1 : 0;
+    const FollowResult_ verdict = FollowAnswered(&self.Following, news, model->Now, &model->Rng);
+    model->SourcesLeft += verdict == FollowResult_Stale || verdict == FollowResult_Loop ? 1 : 0;
     const bool changed = self.Following.Revision > before;
     if (changed)
     {
         AnswerFollowers(model, instance);
     }
-    if (verdict == FollowVerdict_Lost)
+    if (verdict == FollowResult_StoreLost)
     {
         OnStoreLost(model, instance, model->Now - news.TriedUs);
     }
-    if (verdict == FollowVerdict_Good)
+    if (verdict == FollowResult_Good)
     {
         const bool found = self.Lost;
         self.Lost = false;
@@ -316,7 +316,7 @@
             CallFailed(model, instance, call, false); // Ends a long poll that is in progress.
             return;
         }
-        const SourceNews news = {StoreRevision(*model, model->Now), 0, false, 0, ""};
+        const SourceStatus news = {StoreRevision(*model, model->Now), 0, false, 0, ""};
         const TimeUs read = QueueWork(model, instance, model->Now + StoreUs, everything ? EverythingUs : MessageUs);
         ScheduleAt(model, read, [=]() { OnSourceAnswer(model, instance, call, news); });
     };
@@ -326,20 +326,20 @@
 void Serve(Model* model, size_t server, const ModelWait& wait, TimeUs most)
 {
     ModelInstance& self = model->Fleet[server];
-    FollowMet(&self.Following, wait.Asker.Address);
+    FollowAddInstance(&self.Following, wait.Asker.Address);
     std::vector<std::string> followers;
     for (const auto& entry : self.Waits)
     {
         followers.push_back(entry.second.Asker.Address);
     }
-    const NewsHolder holder = {self.Following.Revision, self.Lost, std::move(followers), {}, ""};
-    const NewsAnswer answer = FanoutAsked(&self.Spread, wait.Asker, holder, model->Now, &model->Rng);
-    if (answer.Action == NewsVerdict_Answer)
+    const UpdateServer holder = {self.Following.Revision, self.Lost, std::move(followers), {}, ""};
+    const UpdateDecision answer = FanoutDecide(&self.Spread, wait.Asker, holder, model->Now, &model->Rng);
+    if (answer.Action == UpdateAction_Answer)
     {
         SendAnswer(model, server, wait);
         return;
     }
-    if (answer.Action == NewsVerdict_SendOn)
+    if (answer.Action == UpdateAction_Redirect)
     {
         const auto sent_on = [=]()
         {
@@ -347,7 +347,7 @@
             if (asker.State == ModelState_Up && asker.Call == wait.Call)
             {
                 asker.Call = 0;
-                FollowSentOn(&asker.Following, answer.Elsewhere, &model->Rng);
+                FollowRedirected(&asker.Following, answer.Elsewhere, &model->Rng);
                 StartCall(model, wait.From);
             }
         };
@@ -355,7 +355,7 @@
         return;
     }
     self.Waits[wait.Call] = wait;
-    if (answer.Action == NewsVerdict_Lead && FollowAsked(&self.Following))
+    if (answer.Action == UpdateAction_AskStore && FollowAskStore(&self.Following))
     {
         self.Call = 0;
         StartCall(model, server);
@@ -577,7 +577,7 @@
         const TimeUs all = RunUntilAllHaveData(&model, 5 * UsPerSecond);
         CPPUNIT_ASSERT_MESSAGE(fmt::format("{} ms", all / UsPerMs), all > 0 && all <= 800 * UsPerMs);
         CPPUNIT_ASSERT_EQUAL(uint64_t{SeedCount}, model.CallsFor[StoreReason_Start]);
-        CPPUNIT_ASSERT_EQUAL(uint64_t{0}, model.CallsFor[StoreReason_Alone]);
+        CPPUNIT_ASSERT_EQUAL(uint64_t{0}, model.CallsFor[StoreReason_Fallback]);
         CheckCalls(model, 15);
     }
 
@@ -592,7 +592,7 @@
         {
             const auto callers_wait = [&model, n]()
             {
-                if (FollowNeeded(&model.Fleet[n].Following))
+                if (FollowCallersWaiting(&model.Fleet[n].Following))
                 {
                     model.Fleet[n].Call = 0;
                     StartCall(&model, n);
@@ -608,7 +608,7 @@
         }
         RunUntil(&model, 1200 * UsPerMs);
         CPPUNIT_ASSERT_EQUAL(size_t{0}, MeasureFleet(model).Without);
-        CPPUNIT_ASSERT_EQUAL(uint64_t{needed}, model.CallsFor[StoreReason_Alone]);
+        CPPUNIT_ASSERT_EQUAL(uint64_t{needed}, model.CallsFor[StoreReason_Fallback]);
         CheckCalls(model, needed + 10);
     }
 
@@ -626,7 +626,7 @@
         };
         RunUntil(&model, to);
         CheckCalls(model, 90);
-        CPPUNIT_ASSERT_EQUAL(uint64_t{0}, model.CallsFor[StoreReason_Alone]);
+        CPPUNIT_ASSERT_EQUAL(uint64_t{0}, model.CallsFor[StoreReason_Fallback]);
         RunUntil(&model, to + 1500 * UsPerMs);
         CheckAge(MeasureFleet(model).OldestUs, UsPerSecond);
     }
@@ -707,7 +707,7 @@
             }
             CheckAge(MaxAgeUntil(&model, model.Now + 10 * UsPerSecond), 2 * UsPerSecond);
             CheckCalls(model, 60);
-            CPPUNIT_ASSERT_EQUAL(uint64_t{0}, model.CallsFor[StoreReason_Alone]);
+            CPPUNIT_ASSERT_EQUAL(uint64_t{0}, model.CallsFor[StoreReason_Fallback]);
         }
     }
 
@@ -725,8 +725,8 @@
             }
             CheckAge(MaxAgeUntil(&model, model.Now + 9 * UsPerSecond), 4 * UsPerSecond);
             CheckCalls(model, 300);
-            CPPUNIT_ASSERT(model.CallsFor[StoreReason_Alone] > 0);
-            CPPUNIT_ASSERT(model.CallsFor[StoreReason_Alone] < FleetSize / 8);
+            CPPUNIT_ASSERT(model.CallsFor[StoreReason_Fallback] > 0);
+            CPPUNIT_ASSERT(model.CallsFor[StoreReason_Fallback] < FleetSize / 8);
         }
     }
 
--- a/tests/foreign_entries_test.cpp
+++ b/tests/foreign_entries_test.cpp
@@ -106,7 +106,7 @@
     {
         put();
         Instance = &RigStart(&Parts);
-        CPPUNIT_ASSERT_MESSAGE(what, RigRun(&Parts, [&]() { return Instance->Requests.Plan && Uses("t1"); }));
+        CPPUNIT_ASSERT_MESSAGE(what, RigRunUntil(&Parts, [&]() { return Instance->Requests.Plan && Uses("t1"); }));
         CPPUNIT_ASSERT_MESSAGE(what, !Uses("bad"));
         Parts.Instances.clear();
     }
@@ -117,11 +117,11 @@
         CheckStart(what, put);
         PutGood();
         Instance = &RigStart(&Parts);
-        CPPUNIT_ASSERT_MESSAGE(what, RigRun(&Parts, [&]() { return Uses("bad"); }));
+        CPPUNIT_ASSERT_MESSAGE(what, RigRunUntil(&Parts, [&]() { return Uses("bad"); }));
         put();
-        CPPUNIT_ASSERT_MESSAGE(what, RigRun(&Parts, [&]() { return !Uses("bad"); }));
+        CPPUNIT_ASSERT_MESSAGE(what, RigRunUntil(&Parts, [&]() { return !Uses("bad"); }));
         CPPUNIT_ASSERT_MESSAGE(what, Uses("t1"));
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(what, 200, RigAsk(&Parts, *Instance, RigCall()).Answer.Status);
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(what, 200, RigSendAndWait(&Parts, *Instance, RigCall()).Answer.Status);
         Parts.Instances.clear();
     }
 };
@@ -173,13 +173,14 @@
             UsersStorePutForeign(&setting.Parts.Store, fmt::format("x{}", n++), item);
         }
         setting.Instance = &RigStart(&setting.Parts);
-        CPPUNIT_ASSERT(RigRun(&setting.Parts, [&]() { return setting.Uses("t1") && setting.Uses("bad"); }));
+        CPPUNIT_ASSERT(RigRunUntil(&setting.Parts, [&]() { return setting.Uses("t1") && setting.Uses("bad"); }));
         for (const std::string& item : NamelessItems)
         {
             UsersStorePutForeign(&setting.Parts.Store, fmt::format("x{}", n++), item);
         }
         UsersStoreRemove(&setting.Parts.Store, "servers/t1");
-        CPPUNIT_ASSERT(RigRun(&setting.Parts, [&]() { return !setting.Uses("t1"); })); // Changes that follow the invalid items take effect.
+        CPPUNIT_ASSERT(
+            RigRunUntil(&setting.Parts, [&]() { return !setting.Uses("t1"); })); // Changes that follow the invalid items take effect.
     }
 
     void AnInvalidPlanKeepsThePreviousOne()
@@ -188,11 +189,11 @@
         setting.Instance = &RigInstance(&setting.Parts, 2);
         UsersStorePutForeign(&setting.Parts.Store, "op/config", R"({"privateKey":"op/config","value":"%"})");
         RigTarget(&setting.Parts, "t3");
-        CPPUNIT_ASSERT(RigRun(&setting.Parts, [&]() { return setting.Uses("t3"); }));
+        CPPUNIT_ASSERT(RigRunUntil(&setting.Parts, [&]() { return setting.Uses("t3"); }));
         CPPUNIT_ASSERT_EQUAL(uint64_t{1}, setting.Instance->Requests.Plan->Version);
         CPPUNIT_ASSERT(!setting.Instance->Invalid.empty());
         RigConfigure(&setting.Parts, {UsersRoute()});
-        CPPUNIT_ASSERT(RigRun(&setting.Parts, [&]() { return setting.Instance->Requests.Plan->Version == 2; }));
+        CPPUNIT_ASSERT(RigRunUntil(&setting.Parts, [&]() { return setting.Instance->Requests.Plan->Version == 2; }));
         CPPUNIT_ASSERT(setting.Instance->Invalid.empty());
     }
 
@@ -203,16 +204,16 @@
         Settings first = RigSettings(setting.Parts);
         first.PeerAddress = FreeAddress();
         first.Peers = {first.PeerAddress};
-        RigAwait(&setting.Parts, RigStartWith(&setting.Parts, first), 2);
+        RigWaitForPlan(&setting.Parts, RigStartWith(&setting.Parts, first), 2);
         Settings second = RigSettings(setting.Parts);
         second.PeerAddress = FreeAddress();
         second.Peers = first.Peers;
         setting.Instance = &RigStartWith(&setting.Parts, second);
-        RigAwait(&setting.Parts, *setting.Instance, 2);
+        RigWaitForPlan(&setting.Parts, *setting.Instance, 2);
         UsersStorePutForeign(&setting.Parts.Store, BadKey, InvalidItems[0]);
-        CPPUNIT_ASSERT(RigRun(&setting.Parts, [&]() { return !setting.Uses("bad"); }));
+        CPPUNIT_ASSERT(RigRunUntil(&setting.Parts, [&]() { return !setting.Uses("bad"); }));
         setting.PutGood();
-        CPPUNIT_ASSERT(RigRun(&setting.Parts, [&]() { return setting.Uses("bad"); }));
+        CPPUNIT_ASSERT(RigRunUntil(&setting.Parts, [&]() { return setting.Uses("bad"); }));
         CPPUNIT_ASSERT_EQUAL(uint64_t{0}, StoreCalls(setting.Instance->Store));
     }
 
@@ -224,14 +225,14 @@
         CPPUNIT_ASSERT(StatusText(*setting.Instance).find(BadKey) != std::string::npos);
         CPPUNIT_ASSERT(MetricsText(*setting.Instance).find("winchlink_items_invalid 1\n") != std::string::npos);
         setting.PutGood();
-        CPPUNIT_ASSERT(RigRun(&setting.Parts, [&]() { return setting.Instance->Invalid.empty(); }));
+        CPPUNIT_ASSERT(RigRunUntil(&setting.Parts, [&]() { return setting.Instance->Invalid.empty(); }));
         UsersStorePut(&setting.Parts.Store, BadKey, "no JSON");
-        CPPUNIT_ASSERT(RigRun(&setting.Parts, [&]() { return setting.Instance->Invalid.size() == 1; }));
+        CPPUNIT_ASSERT(RigRunUntil(&setting.Parts, [&]() { return setting.Instance->Invalid.size() == 1; }));
         UsersStoreRemove(&setting.Parts.Store, BadKey);
-        CPPUNIT_ASSERT(RigRun(&setting.Parts, [&]() { return setting.Instance->Invalid.empty(); }));
+        CPPUNIT_ASSERT(RigRunUntil(&setting.Parts, [&]() { return setting.Instance->Invalid.empty(); }));
         UsersStorePut(&setting.Parts.Store, BadKey, "no JSON"); // Both changes arrive in one answer.
         setting.PutGood();
-        CPPUNIT_ASSERT(RigRun(&setting.Parts, [&]() { return setting.Uses("bad"); }));
+        CPPUNIT_ASSERT(RigRunUntil(&setting.Parts, [&]() { return setting.Uses("bad"); }));
         CPPUNIT_ASSERT(setting.Instance->Invalid.empty());
     }
 
@@ -240,7 +241,7 @@
         CHECK_PROPERTY("of a page of good and invalid entries the good ones are named, whatever stands beside them",
                        []()
                        {
-                           Dice dice;
+                           TestRandom dice;
                            std::vector<StoreItem> items;
                            std::set<std::string> good;
                            for (int64_t n = dice.Between(0, 12); n > 0; n--)
@@ -256,9 +257,9 @@
                                    good.insert(id);
                                }
                            }
-                           const StoreNews news = PlatformAdapter().Read({items, 20, true, UsPerSecond});
+                           const StoreUpdates news = PlatformAdapter().Read({items, 20, true, UsPerSecond});
                            std::set<std::string> named;
-                           for (const TargetNews& target : news.Targets)
+                           for (const TargetUpdate& target : news.Targets)
                            {
                                if (!target.Gone)
                                {
@@ -276,7 +277,7 @@
             R"({"at":9,"rows":[7,{"name":"a","revision":3,"row":"no"},{"name":"b","revision":4,"gone":true}]})");
         CPPUNIT_ASSERT(bool(page));
         CPPUNIT_ASSERT_EQUAL(size_t{2}, page.value().Items.size());
-        const StoreNews news = TableAdapter().Read({page.value().Items, 9, true, UsPerSecond});
+        const StoreUpdates news = TableAdapter().Read({page.value().Items, 9, true, UsPerSecond});
         CPPUNIT_ASSERT(!news.Plan);
         CPPUNIT_ASSERT_EQUAL(std::string("a"), news.Invalid.front().Key);
         CPPUNIT_ASSERT(news.Invalid.front().Why.Detail.find("row a") != std::string::npos);
--- a/tests/fuzz/fuzz_platform.cpp
+++ b/tests/fuzz/fuzz_platform.cpp
@@ -1,7 +1,7 @@
 // fuzz_platform.cpp: libFuzzer target for the platform adapter's input, load reports and crash reports. A valid entry must be read whatever
 // invalid entries come with it.
 
-#include "target_ends.h"
+#include "crash_reports.h"
 #include "wire.h"
 
 #include <algorithm>
@@ -17,8 +17,8 @@
 {
     std::vector<Winchlink::StoreItem> items = page.Items;
     items.push_back({"servers/good", GoodEntry, 9, false});
-    const Winchlink::StoreNews news = Winchlink::PlatformAdapter().Read({items, 9, true, 0});
-    const auto is_good = [](const Winchlink::TargetNews& target)
+    const Winchlink::StoreUpdates news = Winchlink::PlatformAdapter().Read({items, 9, true, 0});
+    const auto is_good = [](const Winchlink::TargetUpdate& target)
     {
         return !target.Gone && target.Target.Id == "good";
     };
@@ -44,7 +44,7 @@
     Winchlink::StorePage values;
     values.Items = {{"servers/fuzzed", text, 8, false}, {"op/config", text, 7, false}};
     ReadWithGoodEntry(values);
-    (void)Winchlink::DecodeTargetEnds(text);
+    (void)Winchlink::DecodeCrashReports(text);
     Winchlink::StoreItem item;
     item.Key = "servers/fuzzed";
     item.Value = text;
--- a/tests/fuzz/fuzz_request.cpp
+++ b/tests/fuzz/fuzz_request.cpp
@@ -17,8 +17,8 @@
 Seen ReadInPieces(const std::string& bytes, size_t piece)
 {
     Winchlink::CallerLimits limits;
-    limits.HeaderBytesMost = 512; // Small, so that inputs reach the limits.
-    limits.BodyBytesMost = 64;
+    limits.HeaderBytesMax = 512; // Small, so that inputs reach the limits.
+    limits.BodyBytesMax = 64;
     Winchlink::RequestReader reader;
     Winchlink::RequestReaderBegin(&reader, limits);
     Seen seen;
@@ -26,11 +26,11 @@
     for (size_t at = 0; at < bytes.size(); at += piece)
     {
         waiting += bytes.substr(at, piece);
-        while (Winchlink::RequestReaderFeed(&reader, &waiting) == Winchlink::ReadState_Whole)
+        while (Winchlink::RequestReaderFeed(&reader, &waiting) == Winchlink::ReadState_Complete)
         {
             const Winchlink::CallerRequest& request = reader.Request;
             seen.Requests += request.Method + ' ' + request.Target + '\n' + request.Body + '\n';
-            if (request.Body.size() > limits.BodyBytesMost)
+            if (request.Body.size() > limits.BodyBytesMax)
             {
                 __builtin_trap();
             }
--- a/tests/fuzz/fuzz_signals.cpp
+++ b/tests/fuzz/fuzz_signals.cpp
@@ -22,7 +22,7 @@
     using Winchlink::UsPerSecond;
     const std::vector<Winchlink::Header> headers = {
         {"X-Winchlink-Limit", text}, {"X-Winchlink-Cold-Ms", text}, {"X-Winchlink-Leaving", text}, {"Retry-After", text}, {"Date", text}};
-    const Winchlink::TargetSignals signals = Winchlink::ReadTargetSignals(Winchlink::WireNames(), 503, headers, 0);
+    const Winchlink::TargetSignals signals = Winchlink::ParseTargetSignals(Winchlink::WireNames(), 503, headers, 0);
     Require(!signals.LimitPerS || (std::isfinite(*signals.LimitPerS) && *signals.LimitPerS >= 0));
     Require(!signals.BackoffUs || (*signals.BackoffUs >= 0 && *signals.BackoffUs <= 3600 * UsPerSecond));
     Require(!signals.ColdUs || (*signals.ColdUs >= 0 && *signals.ColdUs <= 3600 * UsPerSecond));
@@ -38,8 +38,8 @@
     }
     Winchlink::Quota quota;
     quota.Config = Winchlink::TargetQuotaConfig();
-    Winchlink::QuotaHeardReport(&quota, "a", message.value().Report, false, now);
-    Winchlink::QuotaHeardAnswer(&quota, message.value().Answer, now);
+    Winchlink::QuotaOnReport(&quota, "a", message.value().Report, false, now);
+    Winchlink::QuotaOnAnswer(&quota, message.value().Answer, now);
     for (const auto& [id, named] : quota.Named)
     {
         Require(std::isfinite(named.PerS) && named.PerS >= 0 && named.HeardUs <= now);
--- a/tests/gateway_faults_test.cpp
+++ b/tests/gateway_faults_test.cpp
@@ -11,8 +11,8 @@
 
 // Failures after which a request may have been run and no valid answer is available.
 static const std::vector<TargetAct_> UncertainActs = {
-    TargetAct_BareShed, TargetAct_Reset,   TargetAct_Close,   TargetAct_Garbage,       TargetAct_CutShort,
-    TargetAct_Unsigned, TargetAct_Encoded, TargetAct_OtherId, TargetAct_NoLengthReset,
+    TargetAct_RefuseUnmarked, TargetAct_Reset,   TargetAct_Close,   TargetAct_Garbage,       TargetAct_CutShort,
+    TargetAct_Unsigned,       TargetAct_Encoded, TargetAct_OtherId, TargetAct_NoLengthReset,
 };
 
 static bool PromisesNotRun(int status)
@@ -85,9 +85,9 @@
             {
                 target->Script = {act};
             }
-            const RigAnswer answer = RigAsk(&rig, instance, Write());
+            const RigAnswer answer = RigSendAndWait(&rig, instance, Write());
             const std::string text = fmt::format("act {} status {}", static_cast<int>(act), answer.Answer.Status);
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(text, 1, RigRuns(rig, answer.Id));
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(text, 1, RigRunCount(rig, answer.Id));
             CPPUNIT_ASSERT_MESSAGE(text, answer.Answer.Status >= 500 && !PromisesNotRun(answer.Answer.Status));
             CPPUNIT_ASSERT_MESSAGE(text, FindHeader(answer.Answer.Headers, "Winchlink-Response-Signature") == nullptr);
         }
@@ -103,11 +103,11 @@
         for (int n = 0; n < 10; n++)
         {
             target.Script = {TargetAct_Good, TargetAct_Close};
-            CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, Write()).Answer.Status);
-            const RigAnswer answer = RigAsk(&rig, instance, Write());
+            CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&rig, instance, Write()).Answer.Status);
+            const RigAnswer answer = RigSendAndWait(&rig, instance, Write());
             CPPUNIT_ASSERT_EQUAL(502, answer.Answer.Status);
-            CPPUNIT_ASSERT_EQUAL(1, RigRuns(rig, answer.Id));
-            RigIdle(&rig, 210 * UsPerMs); // Waits until the target is no longer avoided.
+            CPPUNIT_ASSERT_EQUAL(1, RigRunCount(rig, answer.Id));
+            RigRunFor(&rig, 210 * UsPerMs); // Waits until the target is no longer avoided.
         }
     }
 
@@ -125,7 +125,7 @@
             const Gateway& instance = RigInstance(&rig, 3);
             rig.Targets[1]->Running = 1; // Makes the first target the cheapest.
             rig.Targets[2]->Running = 1;
-            const RigAnswer answer = RigAsk(&rig, instance, RigCall());
+            const RigAnswer answer = RigSendAndWait(&rig, instance, RigCall());
             const std::string text = fmt::format("act {} status {}", static_cast<int>(act), answer.Answer.Status);
             CPPUNIT_ASSERT_EQUAL_MESSAGE(text, 200, answer.Answer.Status);
             rig.Targets[1]->Running = 0;
@@ -149,18 +149,18 @@
         const double slow_factor = std::exchange(instance.Requests.Config.SlowFactor, 0);
         for (int n = 0; n < 10; n++)
         {
-            CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status);
+            CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&rig, instance, RigCall()).Answer.Status);
         }
         instance.Requests.Config.SlowFactor = slow_factor;
         hanging.Script = {TargetAct_Silence};
         busy.Running = busy.Slots;
         const RigAnswerPtr answer = RigSend(&rig, instance, RigCall());
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return hanging.Running == 1; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return hanging.Running == 1; }));
         hanging.Ill = true; // Its health probes fail from now on.
-        RigIdle(&rig, 400 * UsPerMs);
+        RigRunFor(&rig, 400 * UsPerMs);
         CPPUNIT_ASSERT(!answer->Done);
         busy.Running = 0;
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return answer->Done; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return answer->Done; }));
         CPPUNIT_ASSERT_EQUAL(200, answer->Answer.Status);
         CPPUNIT_ASSERT_EQUAL(1, static_cast<int>(busy.Saw.size()));
     }
@@ -173,7 +173,7 @@
         full.Running = full.Slots; // In use by other instances.
         RigConfigure(&rig, {UsersRoute()});
         const Gateway& instance = RigInstance(&rig, 2);
-        const RigAnswer answer = RigAsk(&rig, instance, RigCall());
+        const RigAnswer answer = RigSendAndWait(&rig, instance, RigCall());
         CPPUNIT_ASSERT_EQUAL(500, answer.Answer.Status);
         CPPUNIT_ASSERT(FindHeader(answer.Answer.Headers, "Winchlink-Response-Signature") != nullptr);
         full.Running = 0;
@@ -195,25 +195,25 @@
         {
             target->Script = {TargetAct_Reset, TargetAct_Reset, TargetAct_Reset};
         }
-        const RigAnswer answer = RigAsk(&rig, instance, RigCall());
+        const RigAnswer answer = RigSendAndWait(&rig, instance, RigCall());
         CPPUNIT_ASSERT_EQUAL(502, answer.Answer.Status);
-        CPPUNIT_ASSERT_EQUAL(2, RigRuns(rig, answer.Id));
+        CPPUNIT_ASSERT_EQUAL(2, RigRunCount(rig, answer.Id));
     }
 
     void RetriesRequestsThatWereNotRun()
     {
         Rig rig;
-        RigTarget(&rig, "t1").Script = {TargetAct_Shed};
-        RigTarget(&rig, "t2").Script = {TargetAct_Shed};
+        RigTarget(&rig, "t1").Script = {TargetAct_Refuse};
+        RigTarget(&rig, "t2").Script = {TargetAct_Refuse};
         RigTarget(&rig, "t3");
         UsersRoute route = Writes();
         route.Attempts = 3;
         RigConfigure(&rig, {route});
         Gateway& instance = RigInstance(&rig, 3);
         instance.Requests.Services["svc"].Retries.Extra = 100;
-        const RigAnswer answer = RigAsk(&rig, instance, Write());
+        const RigAnswer answer = RigSendAndWait(&rig, instance, Write());
         CPPUNIT_ASSERT_EQUAL(200, answer.Answer.Status);
-        CPPUNIT_ASSERT_EQUAL(1, RigRuns(rig, answer.Id));
+        CPPUNIT_ASSERT_EQUAL(1, RigRunCount(rig, answer.Id));
     }
 
     void ReportsNotRunOnlyForRequestsThatWereNotRun()
@@ -225,20 +225,20 @@
         const Gateway& instance = RigInstance(&rig, 2);
         for (const auto& target : rig.Targets)
         {
-            target->Script = {TargetAct_Shed, TargetAct_Shed, TargetAct_Shed};
+            target->Script = {TargetAct_Refuse, TargetAct_Refuse, TargetAct_Refuse};
         }
-        const RigAnswer shed = RigAsk(&rig, instance, Write());
+        const RigAnswer shed = RigSendAndWait(&rig, instance, Write());
         CPPUNIT_ASSERT_EQUAL(503, shed.Answer.Status);
         CPPUNIT_ASSERT_EQUAL(std::string("0.050"),
                              *FindHeader(shed.Answer.Headers, "Retry-After")); // Short, as the targets have free slots.
-        CPPUNIT_ASSERT_EQUAL(0, RigRuns(rig, shed.Id));
+        CPPUNIT_ASSERT_EQUAL(0, RigRunCount(rig, shed.Id));
         for (const auto& target : rig.Targets)
         {
             UsersTargetStop(target.get()); // Refuses connections from now on.
         }
-        const RigAnswer refused = RigAsk(&rig, instance, Write());
+        const RigAnswer refused = RigSendAndWait(&rig, instance, Write());
         CPPUNIT_ASSERT_EQUAL(503, refused.Answer.Status);
-        CPPUNIT_ASSERT_EQUAL(0, RigRuns(rig, refused.Id));
+        CPPUNIT_ASSERT_EQUAL(0, RigRunCount(rig, refused.Id));
     }
 
     void DiscardsSurplusAnswers()
@@ -254,11 +254,11 @@
                 target.Script = {act};
                 RigCall call = n % 2 == 0 ? RigCall() : Write();
                 call.Target += std::to_string(n);
-                const RigAnswer answer = RigAsk(&rig, instance, call);
+                const RigAnswer answer = RigSendAndWait(&rig, instance, call);
                 const bool own = answer.Answer.Body.find(call.Target + " ") != std::string::npos;
                 CPPUNIT_ASSERT(answer.Answer.Status != 200 || own);
-                CPPUNIT_ASSERT(RigRuns(rig, answer.Id) <= (n % 2 == 0 ? 2 : 1));
-                RigIdle(&rig, TimeUs{n % 3} * 2 * UsPerMs);
+                CPPUNIT_ASSERT(RigRunCount(rig, answer.Id) <= (n % 2 == 0 ? 2 : 1));
+                RigRunFor(&rig, TimeUs{n % 3} * 2 * UsPerMs);
             }
         }
     }
@@ -274,11 +274,11 @@
             target.Script = {TargetAct_Early};
             RigCall early = Write();
             early.Body = std::string(600000, 'x');
-            const RigAnswer answer = RigAsk(&rig, instance, early);
+            const RigAnswer answer = RigSendAndWait(&rig, instance, early);
             CPPUNIT_ASSERT(answer.Answer.Status == 400 || answer.Answer.Status == 502);
             RigCall next = Write();
             next.Target = fmt::format("/w/{}", n);
-            const RigAnswer after = RigAsk(&rig, instance, next);
+            const RigAnswer after = RigSendAndWait(&rig, instance, next);
             CPPUNIT_ASSERT_EQUAL(200, after.Answer.Status);
             CPPUNIT_ASSERT_EQUAL(fmt::format("t1 ran POST /w/{} with 4 bytes", n), after.Answer.Body);
         }
@@ -294,9 +294,9 @@
         target.Id = "t9"; // Another target took over the address; the store still has the old entry.
         for (int n = 0; n < 10; n++)
         {
-            CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, Write()).Answer.Status);
+            CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&rig, instance, Write()).Answer.Status);
         }
-        for (const TargetSaw& saw : target.Saw)
+        for (const ReceivedRequest& saw : target.Saw)
         {
             CPPUNIT_ASSERT(!saw.Run);
         }
@@ -315,7 +315,7 @@
         UsersTargetStop(&dead);
         for (int n = 0; n < 10; n++)
         {
-            CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, Write()).Answer.Status);
+            CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&rig, instance, Write()).Answer.Status);
         }
         CPPUNIT_ASSERT_EQUAL(size_t{0}, ill.Saw.size());
         CPPUNIT_ASSERT_EQUAL(size_t{10}, well.Saw.size());
@@ -328,7 +328,7 @@
         RigTarget(&rig, "t2");
         RigConfigure(&rig, {UsersRoute()});
         Gateway& instance = RigInstance(&rig, 2);
-        RepeatBudget& budget = instance.Requests.Services["svc"].Retries;
+        RetryBudget& budget = instance.Requests.Services["svc"].Retries;
         budget.Share = 0.2;
         budget.Extra = 1;
         constexpr int requests = 100;
@@ -336,9 +336,9 @@
         {
             for (const auto& target : rig.Targets)
             {
-                target->Script = {TargetAct_Shed};
+                target->Script = {TargetAct_Refuse};
             }
-            RigAsk(&rig, instance, RigCall());
+            RigSendAndWait(&rig, instance, RigCall());
         }
         const size_t arrivals = rig.Targets[0]->Saw.size() + rig.Targets[1]->Saw.size();
         CPPUNIT_ASSERT(arrivals > requests);
@@ -359,20 +359,20 @@
         instance.Requests.Config.SlowFactor = 0; // No hedges while the usual duration is learnt.
         for (int n = 0; n < 10; n++)
         {
-            CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status);
+            CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&rig, instance, RigCall()).Answer.Status);
         }
         instance.Requests.Config.SlowFactor = 1.7;
-        instance.Requests.Services["svc"].ProbeTimeout.MinUs = RigLimitUs;
+        instance.Requests.Services["svc"].ProbeTimeout.MinUs = RigTimeoutUs;
         mute.Mute = true;
         slow.WorkUs = UsPerSecond;
         const int asked_before = mute.HealthAsked;
         const RigAnswerPtr answer = RigSend(&rig, instance, RigCall());
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return mute.HealthAsked > asked_before; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return mute.HealthAsked > asked_before; }));
         CPPUNIT_ASSERT(!answer->Done);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return answer->Done; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return answer->Done; }));
         CPPUNIT_ASSERT_EQUAL(200, answer->Answer.Status);
         int repeats = 0;
-        for (const RepeatBudget::Step& step : instance.Requests.Services["svc"].Retries.Counts)
+        for (const RetryBudget::Step& step : instance.Requests.Services["svc"].Retries.Counts)
         {
             repeats += step.Retries;
         }
@@ -386,17 +386,17 @@
         const UsersTarget& other = RigTarget(&rig, "t2", "svc", "dc-b");
         RigConfigure(&rig, {UsersRoute()});
         const Gateway& instance = RigInstance(&rig, 2);
-        RigAsk(&rig, instance, RigCall());
+        RigSendAndWait(&rig, instance, RigCall());
         CPPUNIT_ASSERT_EQUAL(size_t{1}, leaving.Saw.size());
         UsersStoreTarget(&rig.Store, "t1", "svc", leaving.Address, "dc-a", true);
         const auto known = [&]()
         {
-            return instance.Requests.Directory.Targets.at("t1").Presence == Presence_Leaving;
+            return instance.Requests.Directory.Targets.at("t1").Presence == Presence_Draining;
         };
-        CPPUNIT_ASSERT(RigRun(&rig, known));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, known));
         for (int n = 0; n < 5; n++)
         {
-            CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status);
+            CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&rig, instance, RigCall()).Answer.Status);
         }
         CPPUNIT_ASSERT_EQUAL(size_t{1}, leaving.Saw.size());
         CPPUNIT_ASSERT_EQUAL(size_t{5}, other.Saw.size());
@@ -409,17 +409,17 @@
         const UsersTarget& other = RigTarget(&rig, "t2", "svc", "dc-b");
         RigConfigure(&rig, {UsersRoute()});
         Gateway& instance = RigInstance(&rig, 2);
-        instance.Requests.Directory.Config.VanishedUs = 300 * UsPerMs;
+        instance.Requests.Directory.Config.MissingKeptUs = 300 * UsPerMs;
         UsersStoreRemove(&rig.Store, "servers/t1");
         const auto gone = [&]()
         {
-            return instance.Requests.Directory.Targets.at("t1").Presence == Presence_Vanished;
+            return instance.Requests.Directory.Targets.at("t1").Presence == Presence_Missing;
         };
-        CPPUNIT_ASSERT(RigRun(&rig, gone));
-        RigAsk(&rig, instance, RigCall());
+        CPPUNIT_ASSERT(RigRunUntil(&rig, gone));
+        RigSendAndWait(&rig, instance, RigCall());
         CPPUNIT_ASSERT_EQUAL(size_t{0}, vanished.Saw.size());
         CPPUNIT_ASSERT_EQUAL(size_t{1}, other.Saw.size());
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.Directory.Targets.count("t1") == 0; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return instance.Requests.Directory.Targets.count("t1") == 0; }));
         CPPUNIT_ASSERT_EQUAL(size_t{1}, instance.Requests.Services["svc"].Pool.Targets.size());
     }
 
@@ -430,15 +430,15 @@
         RigConfigure(&rig, {UsersRoute()});
         Gateway& instance = RigInstance(&rig, 0);
         const TargetDirectory& directory = instance.Requests.Directory;
-        instance.Requests.Directory.Config.VanishedUs = 20 * UsPerMs;
+        instance.Requests.Directory.Config.MissingKeptUs = 20 * UsPerMs;
         for (int round = 0; round < 5; round++)
         {
             const std::string id = fmt::format("t{}", round);
             RigTarget(&rig, id);
-            CPPUNIT_ASSERT(RigRun(&rig, [&]() { return directory.Targets.count(id) == 1; }));
+            CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return directory.Targets.count(id) == 1; }));
             UsersStoreRemove(&rig.Store, "servers/" + id);
-            CPPUNIT_ASSERT(RigRun(&rig, [&]() { return directory.Targets.at(id).Presence == Presence_Vanished; }));
-            RigIdle(&rig, 60 * UsPerMs);
+            CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return directory.Targets.at(id).Presence == Presence_Missing; }));
+            RigRunFor(&rig, 60 * UsPerMs);
             CPPUNIT_ASSERT(directory.Targets.empty());
             CPPUNIT_ASSERT(instance.Requests.Services["svc"].Pool.Targets.empty());
         }
@@ -452,12 +452,12 @@
         const Gateway& instance = RigInstance(&rig, 1);
         const std::map<std::string, DirectoryTarget>& known = instance.Requests.Directory.Targets;
         UsersStoreTarget(&rig.Store, "t1", "svc", target.Address, "dc-a", true);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return known.at("t1").Presence == Presence_Leaving; }));
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return !rig.Store.Waits.empty(); }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return known.at("t1").Presence == Presence_Draining; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return !rig.Store.Waits.empty(); }));
         const int pages = rig.Store.PageCalls;
         UsersStoreCompact(&rig.Store); // Forces a full read.
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return rig.Store.PageCalls > pages && !rig.Store.Waits.empty(); }));
-        CPPUNIT_ASSERT_EQUAL(int(Presence_Leaving), int(known.at("t1").Presence));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return rig.Store.PageCalls > pages && !rig.Store.Waits.empty(); }));
+        CPPUNIT_ASSERT_EQUAL(int(Presence_Draining), int(known.at("t1").Presence));
     }
 
     void TargetsWithLapsedEntriesRecover()
@@ -469,18 +469,19 @@
         instance.Store.FromStore.WaitUs = 100 * UsPerMs;
         instance.Store.FromStore.MarginUs = 100 * UsPerMs;
         UsersStoreSetMode(&rig.Store, StoreMode_Refusing);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.Directory.InTrouble; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return instance.Requests.Directory.StoreUnavailable; }));
         UsersStoreRemove(&rig.Store, "servers/t1"); // The entry expired, as the target couldn't renew it.
         UsersStoreSetMode(&rig.Store, StoreMode_Good);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return !instance.Requests.Directory.InTrouble; }));
-        CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status); // The target is used although its entry is missing.
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return !instance.Requests.Directory.StoreUnavailable; }));
+        CPPUNIT_ASSERT_EQUAL(200,
+                             RigSendAndWait(&rig, instance, RigCall()).Answer.Status); // The target is used although its entry is missing.
         UsersStoreTarget(&rig.Store, "t1", "svc", target.Address, "dc-a");
         const auto back = [&]()
         {
             return instance.Requests.Directory.Targets.at("t1").Presence == Presence_Ready;
         };
-        CPPUNIT_ASSERT(RigRun(&rig, back));
-        CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status);
+        CPPUNIT_ASSERT(RigRunUntil(&rig, back));
+        CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&rig, instance, RigCall()).Answer.Status);
     }
 
     void DetectsASilentStore()
@@ -493,10 +494,10 @@
         instance.Store.FromStore.MarginUs = 100 * UsPerMs;
         instance.Store.FromStore.ReadUs = 100 * UsPerMs;
         UsersStoreSetMode(&rig.Store, StoreMode_Silent);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.Directory.InTrouble; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return instance.Requests.Directory.StoreUnavailable; }));
         RigConfigure(&rig, {UsersRoute()});
         UsersStoreSetMode(&rig.Store, StoreMode_Good);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.Plan->Version == 2; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return instance.Requests.Plan->Version == 2; }));
     }
 
     void DetectsRemovalsThatThePollMissed()
@@ -506,18 +507,18 @@
         RigTarget(&rig, "t2");
         RigConfigure(&rig, {UsersRoute()});
         Gateway& instance = RigInstance(&rig, 2);
-        UsersStoreSetMode(&rig.Store, StoreMode_Deaf);
+        UsersStoreSetMode(&rig.Store, StoreMode_NoChanges);
         UsersStoreRemove(&rig.Store, "servers/t1");
-        RigIdle(&rig, 100 * UsPerMs);
+        RigRunFor(&rig, 100 * UsPerMs);
         CPPUNIT_ASSERT(instance.Requests.Directory.Targets.at("t1").Presence == Presence_Ready); // The poll did not report the removal.
         UsersStoreSetMode(&rig.Store, StoreMode_Good);
         UsersStoreCompact(&rig.Store);
         const auto noticed = [&]()
         {
             const auto& all = instance.Requests.Directory.Targets;
-            return all.count("t1") == 0 || all.at("t1").Presence == Presence_Vanished;
+            return all.count("t1") == 0 || all.at("t1").Presence == Presence_Missing;
         };
-        CPPUNIT_ASSERT(RigRun(&rig, noticed));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, noticed));
     }
 
     void ReadsEverythingWhenTheStoreHistoryIsGone()
@@ -526,18 +527,18 @@
         RigTarget(&rig, "t1");
         RigConfigure(&rig, {UsersRoute()});
         const Gateway& instance = RigInstance(&rig, 1);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return !rig.Store.Waits.empty(); }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return !rig.Store.Waits.empty(); }));
         const int pages = rig.Store.PageCalls;
         UsersStoreCompact(&rig.Store);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return rig.Store.PageCalls > pages; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return rig.Store.PageCalls > pages; }));
         RigConfigure(&rig, {UsersRoute()});
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.Plan->Version == 2; }));
-        CPPUNIT_ASSERT(!instance.Requests.Directory.InTrouble); // A compacted history doesn't count as a store failure.
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return instance.Requests.Plan->Version == 2; }));
+        CPPUNIT_ASSERT(!instance.Requests.Directory.StoreUnavailable); // A compacted history doesn't count as a store failure.
     }
 
     void ServesWhileTheStoreRefuses()
     {
-        for (const StoreMode_ mode : {StoreMode_Refusing, StoreMode_TooMany, StoreMode_Torn})
+        for (const StoreMode_ mode : {StoreMode_Refusing, StoreMode_TooMany, StoreMode_BadJson})
         {
             Rig rig;
             RigTarget(&rig, "t1");
@@ -545,13 +546,13 @@
             Gateway& instance = RigInstance(&rig, 1);
             instance.Store.FromStore.WaitUs = 50 * UsPerMs;
             UsersStoreSetMode(&rig.Store, mode);
-            CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.Directory.InTrouble; }));
+            CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return instance.Requests.Directory.StoreUnavailable; }));
             const int calls = rig.Store.Calls;
-            RigIdle(&rig, UsPerSecond);
+            RigRunFor(&rig, UsPerSecond);
             CPPUNIT_ASSERT(rig.Store.Calls - calls <= 8); // Refused calls are made with a backoff.
-            CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status);
+            CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&rig, instance, RigCall()).Answer.Status);
             UsersStoreSetMode(&rig.Store, StoreMode_Good);
-            CPPUNIT_ASSERT(RigRun(&rig, [&]() { return !instance.Requests.Directory.InTrouble; }));
+            CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return !instance.Requests.Directory.StoreUnavailable; }));
         }
     }
 
@@ -562,8 +563,8 @@
         RigConfigure(&rig, {UsersRoute()});
         const Gateway& instance = RigInstance(&rig, 1);
         ListenerStop(&rig.Store.Server);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.Directory.InTrouble; }));
-        CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status);
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return instance.Requests.Directory.StoreUnavailable; }));
+        CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&rig, instance, RigCall()).Answer.Status);
     }
 
     void ServesOnceTheStoreIsAvailable()
@@ -573,10 +574,10 @@
         RigConfigure(&rig, {UsersRoute()});
         UsersStoreSetMode(&rig.Store, StoreMode_Refusing);
         const Gateway& instance = RigStart(&rig);
-        CPPUNIT_ASSERT_EQUAL(503, RigAsk(&rig, instance, RigCall()).Answer.Status);
+        CPPUNIT_ASSERT_EQUAL(503, RigSendAndWait(&rig, instance, RigCall()).Answer.Status);
         UsersStoreSetMode(&rig.Store, StoreMode_Good);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.Plan != nullptr; }));
-        CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status);
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return instance.Requests.Plan != nullptr; }));
+        CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&rig, instance, RigCall()).Answer.Status);
     }
 
     // Idle connections to the only target go dead without a reset. The probe before a request detects this, and neither the next probe nor
@@ -595,17 +596,17 @@
         {
             first.push_back(RigSend(&rig, instance, Write())); // Concurrent, so that six connections are kept.
         }
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return std::all_of(first.begin(), first.end(), [](const auto& a) { return a->Done; }); }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return std::all_of(first.begin(), first.end(), [](const auto& a) { return a->Done; }); }));
         CPPUNIT_ASSERT(target.Connections.size() >= 6);
-        UsersTargetHush(&target);
-        RigIdle(&rig, 20 * UsPerMs); // Makes the load reports stale, so that the next request sends a probe.
+        UsersTargetStopReading(&target);
+        RigRunFor(&rig, 20 * UsPerMs); // Makes the load reports stale, so that the next request sends a probe.
         for (int n = 0; n < 4; n++)
         {
-            const RigAnswer answer = RigAsk(&rig, instance, Write());
+            const RigAnswer answer = RigSendAndWait(&rig, instance, Write());
             CPPUNIT_ASSERT_EQUAL(200, answer.Answer.Status);
-            CPPUNIT_ASSERT_EQUAL(1, RigRuns(rig, answer.Id));
+            CPPUNIT_ASSERT_EQUAL(1, RigRunCount(rig, answer.Id));
         }
-        CPPUNIT_ASSERT_EQUAL(uint64_t{1}, instance.Targets.SilencesSeen);
+        CPPUNIT_ASSERT_EQUAL(uint64_t{1}, instance.Targets.DeadConnectionsSeen);
     }
 
     // The process is suspended while requests wait for a slot; meanwhile half of the callers leave and slots become free. The instance must
@@ -619,7 +620,7 @@
         route.AimS = 5; // Requests wait up to 1 s for a slot.
         RigConfigure(&rig, {route});
         const Gateway& instance = RigInstance(&rig, 1);
-        CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status);
+        CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&rig, instance, RigCall()).Answer.Status);
         target.Running = target.Slots; // In use by other instances.
         std::vector<std::unique_ptr<RawCaller>> callers;
         constexpr size_t requests = 6;
@@ -629,17 +630,17 @@
             RawSend(*callers.back(), fmt::format("GET /a/{} HTTP/1.1\r\nHost: a.example\r\nWinchlink-Request-Id: f{}\r\n\r\n", n, n));
         }
         const ServiceState& service = instance.Requests.Services.at("svc");
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return service.Waiting.size() >= requests; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return service.Waiting.size() >= requests; }));
         for (size_t n = 0; n < requests; n += 2)
         {
             RawClose(callers[n].get());
         }
         target.Running = 0;
         std::this_thread::sleep_for(std::chrono::milliseconds(100)); // The loop is not run, so all timers expire.
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.InProgress == 0; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return instance.Requests.InProgress == 0; }));
         for (size_t n = 0; n < requests; n++)
         {
-            CPPUNIT_ASSERT_EQUAL(static_cast<int>(n % 2), RigRuns(rig, fmt::format("f{}", n)));
+            CPPUNIT_ASSERT_EQUAL(static_cast<int>(n % 2), RigRunCount(rig, fmt::format("f{}", n)));
         }
     }
 
@@ -649,12 +650,13 @@
         RigTarget(&rig, "t1");
         RigConfigure(&rig, {UsersRoute(), Writes()});
         Gateway& instance = RigStart(&rig);
-        instance.Requests.Config.FirstPlanUs = RigLimitUs; // The plan arrives in time, however slow the machine is.
+        instance.Requests.Config.FirstPlanUs = RigTimeoutUs; // The plan arrives in time, however slow the machine is.
         std::vector<RigAnswerPtr> answers = {RigSend(&rig, instance, RigCall()), RigSend(&rig, instance, Write())};
         RigCall unknown;
         unknown.Target = "/nowhere";
         answers.push_back(RigSend(&rig, instance, unknown));
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return std::all_of(answers.begin(), answers.end(), [](const auto& a) { return a->Done; }); }));
+        CPPUNIT_ASSERT(
+            RigRunUntil(&rig, [&]() { return std::all_of(answers.begin(), answers.end(), [](const auto& a) { return a->Done; }); }));
         CPPUNIT_ASSERT_EQUAL(200, answers[0]->Answer.Status);
         CPPUNIT_ASSERT_EQUAL(200, answers[1]->Answer.Status);
         CPPUNIT_ASSERT_EQUAL(404, answers[2]->Answer.Status);
@@ -668,14 +670,14 @@
         Gateway& instance = RigStart(&rig);
         instance.Requests.Config.FirstPlanUs = 100 * UsPerMs;
         const RigAnswerPtr gone = RigSend(&rig, instance, RigCall());
-        const RigAnswer answer = RigAsk(&rig, instance, RigCall());
+        const RigAnswer answer = RigSendAndWait(&rig, instance, RigCall());
         CPPUNIT_ASSERT_EQUAL(503, answer.Answer.Status);
         CPPUNIT_ASSERT_EQUAL(std::to_string(static_cast<int>(Code_NoTable)), *FindHeader(answer.Answer.Headers, HeaderCode));
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return gone->Done; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return gone->Done; }));
         CPPUNIT_ASSERT_EQUAL(0, instance.Requests.InProgress);
         RigConfigure(&rig, {UsersRoute()});
-        RigAwait(&rig, instance, 1); // No request is waiting any more when the plan arrives.
-        CPPUNIT_ASSERT_EQUAL(0, RigRuns(rig, answer.Id));
+        RigWaitForPlan(&rig, instance, 1); // No request is waiting any more when the plan arrives.
+        CPPUNIT_ASSERT_EQUAL(0, RigRunCount(rig, answer.Id));
     }
 };
 
--- a/tests/gateway_rig.cpp
+++ b/tests/gateway_rig.cpp
@@ -79,9 +79,9 @@
     UsersStoreConfigure(&rig->Store, ++rig->Version, routes);
 }
 
-void RigConfigureFor(Rig* rig, const std::vector<UsersRoute>& routes, const std::vector<UsersCustomer>& customers)
+void RigConfigureWithCustomers(Rig* rig, const std::vector<UsersRoute>& routes, const std::vector<UsersCustomer>& customers)
 {
-    UsersStoreConfigureFor(&rig->Store, ++rig->Version, routes, customers);
+    UsersStoreConfigureCustomers(&rig->Store, ++rig->Version, routes, customers);
 }
 
 Settings RigSettings(const Rig& rig)
@@ -101,7 +101,7 @@
 {
     rig->Instances.push_back(std::make_unique<Gateway>());
     Gateway& gateway = *rig->Instances.back();
-    const Adapter adapter = rig->Store.SpeaksTable ? TableAdapter() : PlatformAdapter();
+    const Adapter adapter = rig->Store.ServesTable ? TableAdapter() : PlatformAdapter();
     CPPUNIT_ASSERT(bool(GatewayStart(&gateway, &rig->Loop, adapter, settings)));
     return gateway;
 }
@@ -111,29 +111,29 @@
     return RigStartWith(rig, RigSettings(*rig));
 }
 
-void RigAwait(Rig* rig, const Gateway& gateway, size_t targets)
+void RigWaitForPlan(Rig* rig, const Gateway& gateway, size_t targets)
 {
     const auto knows = [&]()
     {
         const RoutePlanPtr& plan = gateway.Requests.Plan;
         return plan && plan->Version == rig->Version && gateway.Requests.Directory.Targets.size() == targets;
     };
-    CPPUNIT_ASSERT(RigRun(rig, knows));
+    CPPUNIT_ASSERT(RigRunUntil(rig, knows));
 }
 
 Gateway& RigInstance(Rig* rig, size_t targets)
 {
     Gateway& gateway = RigStart(rig);
-    RigAwait(rig, gateway, targets);
+    RigWaitForPlan(rig, gateway, targets);
     return gateway;
 }
 
-bool RigRun(Rig* rig, const std::function<bool()>& done)
+bool RigRunUntil(Rig* rig, const std::function<bool()>& done)
 {
-    return LoopRunUntil(&rig->Loop, RigLimitUs, done);
+    return LoopRunUntil(&rig->Loop, RigTimeoutUs, done);
 }
 
-void RigIdle(Rig* rig, TimeUs time)
+void RigRunFor(Rig* rig, TimeUs time)
 {
     LoopRunUntil(&rig->Loop, time, []() { return false; });
 }
@@ -143,7 +143,7 @@
     auto out = std::make_shared<RigAnswer>();
     request.Address = instance.Config.CallerAddress;
     request.HasBody = request.Method == "POST";
-    request.TimeoutUs = RigLimitUs;
+    request.TimeoutUs = RigTimeoutUs;
     ClientSend(&rig->Callers, std::move(request),
                [out](ClientAnswer answer)
                {
@@ -167,14 +167,14 @@
     return out;
 }
 
-RigAnswer RigAsk(Rig* rig, const Gateway& instance, const RigCall& call)
+RigAnswer RigSendAndWait(Rig* rig, const Gateway& instance, const RigCall& call)
 {
     const RigAnswerPtr answer = RigSend(rig, instance, call);
-    CPPUNIT_ASSERT(RigRun(rig, [&]() { return answer->Done; }));
+    CPPUNIT_ASSERT(RigRunUntil(rig, [&]() { return answer->Done; }));
     return *answer;
 }
 
-int RigRuns(const Rig& rig, const std::string& id)
+int RigRunCount(const Rig& rig, const std::string& id)
 {
     int runs = 0;
     for (const auto& target : rig.Targets)
--- a/tests/gateway_rig.h
+++ b/tests/gateway_rig.h
@@ -12,7 +12,7 @@
 namespace Winchlink
 {
 
-inline constexpr TimeUs RigLimitUs = 20 * UsPerSecond; // Limit of a wait; a test that reaches it hangs.
+inline constexpr TimeUs RigTimeoutUs = 20 * UsPerSecond; // Limit of a wait; a test that reaches it hangs.
 
 // A caller on a plain socket, for bytes that an HTTP library wouldn't send.
 struct RawCaller
@@ -52,7 +52,7 @@
 void RigConfigure(Rig* rig, const std::vector<UsersRoute>& routes);
 
 // Same as RigConfigure(), with customers.
-void RigConfigureFor(Rig* rig, const std::vector<UsersRoute>& routes, const std::vector<UsersCustomer>& customers);
+void RigConfigureWithCustomers(Rig* rig, const std::vector<UsersRoute>& routes, const std::vector<UsersCustomer>& customers);
 
 // Starts an instance in the data centre "dc-a".
 Gateway& RigStart(Rig* rig);
@@ -69,13 +69,13 @@
 Gateway& RigStartWith(Rig* rig, const Settings& settings);
 
 // Waits until the instance has the latest configuration and `targets` targets.
-void RigAwait(Rig* rig, const Gateway& gateway, size_t targets);
+void RigWaitForPlan(Rig* rig, const Gateway& gateway, size_t targets);
 
-// Runs the loop until done() returns true. Returns false if RigLimitUs passed first.
-bool RigRun(Rig* rig, const std::function<bool()>& done);
+// Runs the loop until done() returns true. Returns false if RigTimeoutUs passed first.
+bool RigRunUntil(Rig* rig, const std::function<bool()>& done);
 
 // Runs the loop for this time, to check that something does not happen.
-void RigIdle(Rig* rig, TimeUs time);
+void RigRunFor(Rig* rig, TimeUs time);
 
 struct RigCall
 {
@@ -104,9 +104,9 @@
 RigAnswerPtr RigSend(Rig* rig, const Gateway& instance, const RigCall& call);
 
 // Sends a request and waits for its answer.
-RigAnswer RigAsk(Rig* rig, const Gateway& instance, const RigCall& call);
+RigAnswer RigSendAndWait(Rig* rig, const Gateway& instance, const RigCall& call);
 
 // Returns how often the targets ran requests with this id.
-int RigRuns(const Rig& rig, const std::string& id);
+int RigRunCount(const Rig& rig, const std::string& id);
 
 } // namespace Winchlink
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -57,7 +57,7 @@
         call.Target = "/a/b%2Fc/../d;x?q=%20+&&r";
         call.Method = "POST";
         call.Body = std::string("zero \0 and more", 15);
-        const RigAnswer answer = RigAsk(&rig, instance, call);
+        const RigAnswer answer = RigSendAndWait(&rig, instance, call);
         CPPUNIT_ASSERT_EQUAL(200, answer.Answer.Status);
         CPPUNIT_ASSERT_EQUAL(size_t{1}, target.Saw.size());
         CPPUNIT_ASSERT_EQUAL(call.Target, target.Saw[0].Path);
@@ -78,16 +78,16 @@
         RigConfigure(&rig, {once});
         const Gateway& instance = RigInstance(&rig, 1);
         target.Script = {TargetAct_Good, TargetAct_Failed, TargetAct_NoLength};
-        RigAnswer answer = RigAsk(&rig, instance, RigCall());
+        RigAnswer answer = RigSendAndWait(&rig, instance, RigCall());
         CPPUNIT_ASSERT_EQUAL(200, answer.Answer.Status);
         CPPUNIT_ASSERT_EQUAL(std::string("t1 ran GET /a/x with 0 bytes"), answer.Answer.Body);
         CPPUNIT_ASSERT_EQUAL("t1." + answer.Id, *FindHeader(answer.Answer.Headers, "Winchlink-Response-Signature"));
         CPPUNIT_ASSERT_EQUAL(answer.Id, *FindHeader(answer.Answer.Headers, "Winchlink-Request-Id"));
-        answer = RigAsk(&rig, instance, RigCall());
+        answer = RigSendAndWait(&rig, instance, RigCall());
         CPPUNIT_ASSERT_EQUAL(500, answer.Answer.Status);
         CPPUNIT_ASSERT_EQUAL(std::string("failed"), answer.Answer.Body);
         CPPUNIT_ASSERT(FindHeader(answer.Answer.Headers, "Winchlink-Response-Signature") != nullptr);
-        answer = RigAsk(&rig, instance, RigCall());
+        answer = RigSendAndWait(&rig, instance, RigCall());
         CPPUNIT_ASSERT_EQUAL(200, answer.Answer.Status);
         CPPUNIT_ASSERT_EQUAL(std::string("t1 ran GET /a/x with 0 bytes"), answer.Answer.Body);
     }
@@ -101,10 +101,10 @@
         RawCaller caller(&rig.Loop, instance.Config.CallerAddress);
         RawSend(caller, "POST /a/x HTTP/1.1\r\nHost: a.example\r\nWinchlink-Request-Id: chunked\r\nWinchlink-Deadline-Ms: 900\r\n"
                         "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n");
-        RigIdle(&rig, 20 * UsPerMs);
+        RigRunFor(&rig, 20 * UsPerMs);
         CPPUNIT_ASSERT(target.Saw.empty());
         RawSend(caller, "6\r\n world\r\n0\r\n\r\n");
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return caller.Read.find("with 11 bytes") != std::string::npos; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return caller.Read.find("with 11 bytes") != std::string::npos; }));
         CPPUNIT_ASSERT_EQUAL(std::string("hello world"), target.Saw[0].Body);
         RigCall call;
         call.Method = "POST";
@@ -112,7 +112,7 @@
         {
             call.Body += std::to_string(n);
         }
-        CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, call).Answer.Status);
+        CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&rig, instance, call).Answer.Status);
         CPPUNIT_ASSERT(call.Body == target.Saw[1].Body);
     }
 
@@ -125,17 +125,17 @@
         const std::string head = "POST /a/x HTTP/1.1\r\nHost: a.example\r\nWinchlink-Request-Id: big\r\nWinchlink-Deadline-Ms: 900\r\n";
         RawCaller declared(&rig.Loop, instance.Config.CallerAddress);
         RawSend(declared, head + "Content-Length: 1000001\r\n\r\n");
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return declared.Read.rfind("HTTP/1.1 413", 0) == 0; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return declared.Read.rfind("HTTP/1.1 413", 0) == 0; }));
         RawCaller chunked(&rig.Loop, instance.Config.CallerAddress);
         RawSend(chunked, head + "Transfer-Encoding: chunked\r\n\r\n");
         const std::string chunk = fmt::format("{:x}\r\n{}\r\n", 30000, std::string(30000, 'x'));
         for (int n = 0; n < 34; n++)
         {
             RawSend(chunked, chunk);
-            RigIdle(&rig, UsPerMs);
+            RigRunFor(&rig, UsPerMs);
         }
         RawSend(chunked, "0\r\n\r\n");
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return chunked.Read.rfind("HTTP/1.1 413", 0) == 0; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return chunked.Read.rfind("HTTP/1.1 413", 0) == 0; }));
         CPPUNIT_ASSERT(target.Saw.empty());
     }
 
@@ -153,7 +153,7 @@
                                  n, n);
         }
         RawSend(caller, bytes);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return caller.Read.find("ran GET /a/4") != std::string::npos; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return caller.Read.find("ran GET /a/4") != std::string::npos; }));
         size_t at = 0;
         for (int n = 0; n < 5; n++)
         {
@@ -171,10 +171,10 @@
         const Gateway& instance = RigInstance(&rig, 1);
         RigCall call;
         call.Target = "/ab/x";
-        CPPUNIT_ASSERT_EQUAL(404, RigAsk(&rig, instance, call).Answer.Status);
+        CPPUNIT_ASSERT_EQUAL(404, RigSendAndWait(&rig, instance, call).Answer.Status);
         call.Target = "/a/x";
         call.Host = "b.example";
-        CPPUNIT_ASSERT_EQUAL(404, RigAsk(&rig, instance, call).Answer.Status);
+        CPPUNIT_ASSERT_EQUAL(404, RigSendAndWait(&rig, instance, call).Answer.Status);
         CPPUNIT_ASSERT(target.Saw.empty());
     }
 
@@ -185,7 +185,7 @@
         request.Address = instance.Config.ReadyAddress;
         request.Target = "/ready";
         ClientSend(&rig->Callers, request, [&status](const ClientAnswer& answer) { status = answer.Status; });
-        CPPUNIT_ASSERT(RigRun(rig, [&]() { return status != 0; }));
+        CPPUNIT_ASSERT(RigRunUntil(rig, [&]() { return status != 0; }));
         return status;
     }
 
@@ -194,11 +194,11 @@
         Rig rig;
         const Gateway& instance = RigStart(&rig);
         CPPUNIT_ASSERT_EQUAL(503, ReadyStatus(&rig, instance));
-        const RigAnswer answer = RigAsk(&rig, instance, RigCall());
+        const RigAnswer answer = RigSendAndWait(&rig, instance, RigCall());
         CPPUNIT_ASSERT_EQUAL(503, answer.Answer.Status);
         CPPUNIT_ASSERT(std::stod(*FindHeader(answer.Answer.Headers, "Retry-After")) > 0);
         RigConfigure(&rig, {UsersRoute()});
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return ReadyStatus(&rig, instance) == 200; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return ReadyStatus(&rig, instance) == 200; }));
     }
 
     void SendsTheRemainingDeadline()
@@ -211,11 +211,11 @@
         const Gateway& instance = RigInstance(&rig, 1);
         RigCall call;
         call.DeadlineMs = 500;
-        RigAsk(&rig, instance, call);
+        RigSendAndWait(&rig, instance, call);
         const int short_one = std::stoi(*SawHeader(target, "Winchlink-Deadline-Ms"));
         CPPUNIT_ASSERT(short_one > 0 && short_one <= 500);
         call.DeadlineMs = 60000;
-        RigAsk(&rig, instance, call);
+        RigSendAndWait(&rig, instance, call);
         const int long_one = std::stoi(*SawHeader(target, "Winchlink-Deadline-Ms"));
         CPPUNIT_ASSERT(long_one > 500 && long_one <= 800); // The route's timeout is shorter than the caller's deadline.
     }
@@ -229,9 +229,9 @@
         RigConfigure(&rig, {route});
         const Gateway& instance = RigInstance(&rig, 1);
         target.Script = {TargetAct_Silence};
-        const RigAnswer answer = RigAsk(&rig, instance, RigCall());
+        const RigAnswer answer = RigSendAndWait(&rig, instance, RigCall());
         CPPUNIT_ASSERT_EQUAL(504, answer.Answer.Status);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return target.Saw[0].Cancelled; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return target.Saw[0].Cancelled; }));
     }
 
     void CancelsTheWorkOfCallersThatLeave()
@@ -245,9 +245,9 @@
         const Gateway& instance = RigInstance(&rig, 1);
         RawCaller caller(&rig.Loop, instance.Config.CallerAddress);
         RawSend(caller, "GET /a/x HTTP/1.1\r\nHost: a.example\r\nWinchlink-Request-Id: leaves\r\nWinchlink-Deadline-Ms: 30000\r\n\r\n");
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return target.Running == 1; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return target.Running == 1; }));
         RawClose(&caller);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return target.Saw[0].Cancelled && instance.Requests.InProgress == 0; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return target.Saw[0].Cancelled && instance.Requests.InProgress == 0; }));
         CPPUNIT_ASSERT_EQUAL(0, target.Running);
     }
 
@@ -266,13 +266,13 @@
             RigCall call;
             call.DeadlineMs = 30000;
             held.push_back(RigSend(&rig, instance, call));
-            CPPUNIT_ASSERT(RigRun(&rig, [&]() { return target.Running == n + 1; }));
+            CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return target.Running == n + 1; }));
         }
-        const RigAnswer answer = RigAsk(&rig, instance, RigCall());
+        const RigAnswer answer = RigSendAndWait(&rig, instance, RigCall());
         CPPUNIT_ASSERT_EQUAL(503, answer.Answer.Status);
         CPPUNIT_ASSERT(std::stod(*FindHeader(answer.Answer.Headers, "Retry-After")) > 0);
         CPPUNIT_ASSERT_EQUAL(std::to_string(static_cast<int>(Code_TargetsBusy)), *FindHeader(answer.Answer.Headers, HeaderCode));
-        CPPUNIT_ASSERT_EQUAL(0, RigRuns(rig, answer.Id));
+        CPPUNIT_ASSERT_EQUAL(0, RigRunCount(rig, answer.Id));
         CPPUNIT_ASSERT_EQUAL(size_t{3}, target.Saw.size()); // The request was not sent.
         CPPUNIT_ASSERT(target.Waiting.empty());
     }
@@ -287,7 +287,7 @@
         const Gateway& instance = RigInstance(&rig, 2);
         for (int n = 0; n < 10; n++)
         {
-            RigAsk(&rig, instance, RigCall());
+            RigSendAndWait(&rig, instance, RigCall());
         }
         CPPUNIT_ASSERT_EQUAL(size_t{0}, slow.Saw.size());
         CPPUNIT_ASSERT_EQUAL(size_t{10}, usual.Saw.size());
@@ -303,14 +303,14 @@
         route.TimeoutS = 60;
         RigConfigure(&rig, {route});
         Gateway& instance = RigInstance(&rig, 2);
-        instance.Requests.Services["svc"].ProbeTimeout.MinUs = RigLimitUs; // Probes never time out here.
-        CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status);
-        RigIdle(&rig, 200 * UsPerMs); // Makes the load reports stale.
+        instance.Requests.Services["svc"].ProbeTimeout.MinUs = RigTimeoutUs; // Probes never time out here.
+        CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&rig, instance, RigCall()).Answer.Status);
+        RigRunFor(&rig, 200 * UsPerMs); // Makes the load reports stale.
         const std::string next = PoolNext(&instance.Requests.Services["svc"].Pool, {}, false, NowUs())->Id;
         UsersTarget& asked = next == first.Id ? first : second;
         UsersTarget& other = next == first.Id ? second : first;
         asked.Mute = true;
-        const RigAnswer answer = RigAsk(&rig, instance, RigCall());
+        const RigAnswer answer = RigSendAndWait(&rig, instance, RigCall());
         CPPUNIT_ASSERT_EQUAL(200, answer.Answer.Status);
         CPPUNIT_ASSERT_EQUAL(1, UsersTargetRuns(other, answer.Id));
         CPPUNIT_ASSERT_EQUAL(size_t{1}, instance.Requests.Services["svc"].Probes.size()); // The first probe is still in flight.
@@ -324,13 +324,15 @@
         route.AimS = 10;
         RigConfigure(&rig, {route});
         Gateway& instance = RigInstance(&rig, 1);
-        instance.Requests.Services["svc"].ProbeTimeout.MinUs = RigLimitUs; // The probe stays in flight until all three requests have timed out.
+        instance.Requests.Services["svc"].ProbeTimeout.MinUs =
+            RigTimeoutUs; // The probe stays in flight until all three requests have timed out.
         target.Mute = true;
         const std::vector<RigAnswerPtr> answers = {RigSend(&rig, instance, RigCall()), RigSend(&rig, instance, RigCall()),
                                                    RigSend(&rig, instance, RigCall())};
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.AsksShared == 2; }));
-        CPPUNIT_ASSERT_EQUAL(uint64_t{1}, instance.Requests.AsksSent);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return std::all_of(answers.begin(), answers.end(), [](const auto& a) { return a->Done; }); }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return instance.Requests.ProbesShared == 2; }));
+        CPPUNIT_ASSERT_EQUAL(uint64_t{1}, instance.Requests.ProbesSent);
+        CPPUNIT_ASSERT(
+            RigRunUntil(&rig, [&]() { return std::all_of(answers.begin(), answers.end(), [](const auto& a) { return a->Done; }); }));
         for (const RigAnswerPtr& answer : answers)
         {
             CPPUNIT_ASSERT_EQUAL(503, answer->Answer.Status);
@@ -344,11 +346,11 @@
         const UsersTarget& far = RigTarget(&rig, "t2", "svc", "dc-b");
         RigConfigure(&rig, {UsersRoute()});
         const Gateway& instance = RigInstance(&rig, 2);
-        RigAsk(&rig, instance, RigCall());
+        RigSendAndWait(&rig, instance, RigCall());
         CPPUNIT_ASSERT_EQUAL(size_t{1}, near.Saw.size());
         near.Running = near.Slots; // In use by other instances.
-        RigIdle(&rig, 200 * UsPerMs);
-        RigAsk(&rig, instance, RigCall());
+        RigRunFor(&rig, 200 * UsPerMs);
+        RigSendAndWait(&rig, instance, RigCall());
         CPPUNIT_ASSERT_EQUAL(size_t{1}, near.Saw.size());
         CPPUNIT_ASSERT_EQUAL(size_t{1}, far.Saw.size());
         near.Running = 0;
@@ -365,7 +367,7 @@
         near.ColdMs = 60000;
         for (int n = 0; n < 5; n++)
         {
-            CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status);
+            CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&rig, instance, RigCall()).Answer.Status);
         }
         CPPUNIT_ASSERT_EQUAL(size_t{5}, far.Saw.size());
         CPPUNIT_ASSERT_EQUAL(1, near.HealthAsked);
@@ -378,13 +380,13 @@
         Rig rig;
         for (const char* id : {"t1", "t2"})
         {
-            RigTarget(&rig, id).TellsLoad = false;
+            RigTarget(&rig, id).SendsLoad = false;
         }
         RigConfigure(&rig, {UsersRoute()});
         const Gateway& instance = RigInstance(&rig, 2);
         for (int n = 0; n < 20; n++)
         {
-            CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status);
+            CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&rig, instance, RigCall()).Answer.Status);
         }
         CPPUNIT_ASSERT(rig.Targets[0]->Saw.size() > 2 && rig.Targets[1]->Saw.size() > 2);
         // The health path of such targets needs a slot as a request does, so it is not probed for each request.
@@ -409,20 +411,20 @@
         {
             return instance.Requests.Plan->Version == version;
         };
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return in_force(2); }));
-        CPPUNIT_ASSERT(RigAsk(&rig, instance, RigCall()).Answer.Body.rfind("t2 ran", 0) == 0);
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return in_force(2); }));
+        CPPUNIT_ASSERT(RigSendAndWait(&rig, instance, RigCall()).Answer.Body.rfind("t2 ran", 0) == 0);
         RigCall longest;
         longest.Target = "/a/more/x";
-        CPPUNIT_ASSERT(RigAsk(&rig, instance, longest).Answer.Body.rfind("t1 ran", 0) == 0);
+        CPPUNIT_ASSERT(RigSendAndWait(&rig, instance, longest).Answer.Body.rfind("t1 ran", 0) == 0);
         UsersStoreConfigure(&rig.Store, 1, {route}); // An older version with a newer revision of the store.
-        RigIdle(&rig, 500 * UsPerMs);
+        RigRunFor(&rig, 500 * UsPerMs);
         CPPUNIT_ASSERT(in_force(2));
         RigConfigure(&rig, {route});
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return in_force(3); }));
-        CPPUNIT_ASSERT(RigAsk(&rig, instance, longest).Answer.Body.rfind("t1 ran", 0) == 0); // Matches the shorter prefix again.
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return in_force(3); }));
+        CPPUNIT_ASSERT(RigSendAndWait(&rig, instance, longest).Answer.Body.rfind("t1 ran", 0) == 0); // Matches the shorter prefix again.
         RigConfigure(&rig, {added});
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return in_force(4); }));
-        CPPUNIT_ASSERT_EQUAL(404, RigAsk(&rig, instance, RigCall()).Answer.Status);
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return in_force(4); }));
+        CPPUNIT_ASSERT_EQUAL(404, RigSendAndWait(&rig, instance, RigCall()).Answer.Status);
     }
 
     void AcceptsFourHundredMoreRoutes()
@@ -440,10 +442,10 @@
             routes.push_back(route);
         }
         RigConfigure(&rig, routes);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.Plan->Version == 2; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return instance.Requests.Plan->Version == 2; }));
         RigCall call;
         call.Target = "/b399/x";
-        CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, call).Answer.Status);
+        CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&rig, instance, call).Answer.Status);
     }
 
     void KeepsThePlanIfAConfigurationIsInvalid()
@@ -455,10 +457,10 @@
         UsersStorePut(&rig.Store, "op/config", "{\"version\":\"00000009\",\"routes\":[{\"name\":\"half\"}]");
         UsersStorePut(&rig.Store, "servers/t9", "no JSON");
         UsersStorePut(&rig.Store, "somebody/else", "not ours");
-        RigIdle(&rig, 300 * UsPerMs);
+        RigRunFor(&rig, 300 * UsPerMs);
         CPPUNIT_ASSERT_EQUAL(uint64_t{1}, instance.Requests.Plan->Version);
         CPPUNIT_ASSERT_EQUAL(size_t{1}, instance.Requests.Directory.Targets.size());
-        CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, RigCall()).Answer.Status);
+        CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&rig, instance, RigCall()).Answer.Status);
     }
 
     void SplitsByWeight()
@@ -472,7 +474,7 @@
         const Gateway& instance = RigInstance(&rig, 2);
         for (int n = 0; n < 100; n++)
         {
-            RigAsk(&rig, instance, RigCall());
+            RigSendAndWait(&rig, instance, RigCall());
         }
         CPPUNIT_ASSERT(most.Saw.size() >= 89 && most.Saw.size() <= 91);
         CPPUNIT_ASSERT_EQUAL(size_t{100}, most.Saw.size() + few.Saw.size());
@@ -491,7 +493,7 @@
         int served = 0;
         for (int n = 0; n < 20; n++)
         {
-            const int status = RigAsk(&rig, instance, RigCall()).Answer.Status;
+            const int status = RigSendAndWait(&rig, instance, RigCall()).Answer.Status;
             CPPUNIT_ASSERT(status == 200 || status == 503);
             served += status == 200 ? 1 : 0;
         }
@@ -508,15 +510,15 @@
         Gateway& instance = RigInstance(&rig, 1);
         RawCaller idle(&rig.Loop, instance.Config.CallerAddress);
         const RigAnswerPtr held = RigSend(&rig, instance, RigCall());
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return target.Running == 1; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return target.Running == 1; }));
         GatewayStop(&instance);
         CPPUNIT_ASSERT_EQUAL(503, ReadyStatus(&rig, instance));
-        const RigAnswer later = RigAsk(&rig, instance, RigCall()); // The balancer in front hasn't removed the instance yet.
+        const RigAnswer later = RigSendAndWait(&rig, instance, RigCall()); // The balancer in front hasn't removed the instance yet.
         CPPUNIT_ASSERT_EQUAL(200, later.Answer.Status);
         CPPUNIT_ASSERT_EQUAL(std::string("close"), *FindHeader(later.Answer.Headers, "Connection"));
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return held->Done; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return held->Done; }));
         CPPUNIT_ASSERT_EQUAL(200, held->Answer.Status);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Stopped; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return instance.Stopped; }));
         CPPUNIT_ASSERT(idle.Ended);
         CPPUNIT_ASSERT_EQUAL(0, instance.Requests.InProgress);
     }
@@ -535,7 +537,8 @@
         Gateway& instance = RigInstance(&rig, 0);
         instance.SettingsFile = fmt::format("/tmp/winchlink-settings-{}.json", getpid());
         WriteSettings(instance.SettingsFile, instance.Config, R"(,"graceS":2.5,"repeatShare":0.05)");
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.DataCentre == "dc-b"; })); // The file is reloaded without a signal.
+        CPPUNIT_ASSERT(
+            RigRunUntil(&rig, [&]() { return instance.Requests.DataCentre == "dc-b"; })); // The file is reloaded without a signal.
         CPPUNIT_ASSERT_EQUAL(TimeUs{2500000}, instance.Config.GraceUs);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0.05, instance.Requests.Config.RetryShare, 1e-9);
         unlink(instance.SettingsFile.c_str());
@@ -561,13 +564,13 @@
         RigTarget(&rig, "t1");
         RigConfigure(&rig, {UsersRoute()});
         const Gateway& instance = RigInstance(&rig, 1);
-        RigAsk(&rig, instance, RigCall());
+        RigSendAndWait(&rig, instance, RigCall());
         std::string text;
         ClientRequest request;
         request.Address = instance.Config.MetricsAddress;
         request.Target = "/metrics";
         ClientSend(&rig.Callers, request, [&text](const ClientAnswer& answer) { text = answer.Body; });
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return !text.empty(); }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return !text.empty(); }));
         CPPUNIT_ASSERT(text.find("winchlink_request_seconds_count{service=\"svc\"} 1\n") != std::string::npos);
         CPPUNIT_ASSERT(text.find("winchlink_requests_ended{service=\"svc\",code=\"0\"} 1\n") != std::string::npos);
         CPPUNIT_ASSERT(text.find("winchlink_plan_version 1\n") != std::string::npos);
--- a/tests/listener_test.cpp
+++ b/tests/listener_test.cpp
@@ -81,12 +81,12 @@
         {
             Call(&callers);
         }
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return callers.Answered > 100; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return callers.Answered > 100; }));
         GatewayStop(&instance);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Stopped; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return instance.Stopped; }));
         CPPUNIT_ASSERT(instance.Callers.Open.empty()); // It stopped because no connection was left, not because of the timeout.
         rig.Instances.clear();                         // Like the end of the process.
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return callers.Calling == 0; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return callers.Calling == 0; }));
         CPPUNIT_ASSERT_EQUAL(0, callers.Lost);
     }
 
@@ -118,12 +118,12 @@
         {
             return std::all_of(callers.begin(), callers.end(), [](const auto& caller) { return caller->Read.find("HTTP/1.1 200") == 0; });
         };
-        CPPUNIT_ASSERT(RigRun(&rig, answered));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, answered));
         RigCall late;
         const RigAnswerPtr answer = RigSend(&rig, instance, late);
-        RigIdle(&rig, 300 * UsPerMs);
+        RigRunFor(&rig, 300 * UsPerMs);
         CPPUNIT_ASSERT(!answer->Done); // Not accepted, so the caller can try another instance.
-        CPPUNIT_ASSERT_EQUAL(0, RigRuns(rig, answer->Id));
+        CPPUNIT_ASSERT_EQUAL(0, RigRunCount(rig, answer->Id));
     }
 
     // If a stopping instance still accepted connections, new callers could keep it busy until the timeout, which would cut their requests.
@@ -138,16 +138,16 @@
         RigCall call;
         call.DeadlineMs = 10000;
         const RigAnswerPtr answer = RigSend(&rig, instance, call);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return RigRuns(rig, answer->Id) == 1; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return RigRunCount(rig, answer->Id) == 1; }));
         GatewayStop(&instance);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Callers.Socket < 0; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return instance.Callers.Socket < 0; }));
         CPPUNIT_ASSERT(!answer->Done);
         RigCall late;
         const RigAnswerPtr refused = RigSend(&rig, instance, late);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return refused->Done; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return refused->Done; }));
         CPPUNIT_ASSERT_EQUAL(ClientEnd_NotConnected, refused->Answer.End);
         CPPUNIT_ASSERT_EQUAL(std::string("Couldn't connect to server"), refused->Answer.Detail); // Refused immediately, not timed out.
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return answer->Done; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return answer->Done; }));
         CPPUNIT_ASSERT_EQUAL(200, answer->Answer.Status);
     }
 
@@ -160,13 +160,13 @@
         RawCaller good(&rig.Loop, instance.Config.CallerAddress);
         RawSend(good,
                 "GET /a/x HTTP/1.1\r\nHost: a.example\r\nWinchlink-Request-Id: g\r\nX-Long: " + std::string(15 * KiB, 'x') + "\r\n\r\n");
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return good.Read.find("HTTP/1.1 200") == 0; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return good.Read.find("HTTP/1.1 200") == 0; }));
         RawCaller bad(&rig.Loop, instance.Config.CallerAddress);
         RawSend(bad,
                 "GET /a/x HTTP/1.1\r\nHost: a.example\r\nWinchlink-Request-Id: b\r\nX-Long: " + std::string(17 * KiB, 'x') + "\r\n\r\n");
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return bad.Ended; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return bad.Ended; }));
         CPPUNIT_ASSERT_EQUAL(size_t{0}, bad.Read.find("HTTP/1.1 431"));
-        CPPUNIT_ASSERT_EQUAL(0, RigRuns(rig, "b"));
+        CPPUNIT_ASSERT_EQUAL(0, RigRunCount(rig, "b"));
     }
 
     // Starts a target and an instance with the given header timeout.
@@ -192,10 +192,10 @@
         while (!slow.Ended && sent < 100)
         {
             RawSend(slow, fmt::format("X-{}: y\r\n", ++sent));
-            RigIdle(&rig, 50 * UsPerMs);
+            RigRunFor(&rig, 50 * UsPerMs);
         }
         CPPUNIT_ASSERT(slow.Ended);
-        CPPUNIT_ASSERT_EQUAL(0, RigRuns(rig, "slow"));
+        CPPUNIT_ASSERT_EQUAL(0, RigRunCount(rig, "slow"));
     }
 
     void SlowBodiesAreAccepted()
@@ -206,11 +206,11 @@
         RawSend(slow, "POST /a/x HTTP/1.1\r\nHost: a.example\r\nWinchlink-Request-Id: body\r\nContent-Length: 8\r\n\r\n");
         for (int n = 0; n < 8; n++)
         {
-            RigIdle(&rig, 40 * UsPerMs);
+            RigRunFor(&rig, 40 * UsPerMs);
             RawSend(slow, "b");
         }
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return slow.Read.find("HTTP/1.1 200") == 0; }));
-        CPPUNIT_ASSERT_EQUAL(1, RigRuns(rig, "body"));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return slow.Read.find("HTTP/1.1 200") == 0; }));
+        CPPUNIT_ASSERT_EQUAL(1, RigRunCount(rig, "body"));
     }
 };
 
--- a/tests/loop_test.cpp
+++ b/tests/loop_test.cpp
@@ -26,8 +26,8 @@
 
         FakeSuspension()
         {
-            Loop.AsleepBeforeUs = 0;
-            Loop.AsleepUs = [this]()
+            Loop.LastSuspendedTotalUs = 0;
+            Loop.SuspendedTotalUs = [this]()
             {
                 return SuspendedSumUs;
             };
--- a/tests/pipeline_test.cpp
+++ b/tests/pipeline_test.cpp
@@ -107,7 +107,7 @@
 
     static bool AwaitAnswers(Setup* setup, const RawCaller& caller, size_t answers)
     {
-        return RigRun(&setup->Fleet, [&]() { return Answers(caller) == answers; });
+        return RigRunUntil(&setup->Fleet, [&]() { return Answers(caller) == answers; });
     }
 
     void RetryableRequestsRunConcurrentlyAndAreAnsweredInOrder()
@@ -116,7 +116,7 @@
         Prepare(&setup, 2, LongWorkUs);
         const RawCaller caller(&setup.Fleet.Loop, setup.Instance->Config.CallerAddress);
         RawSend(caller, Get("p1") + Get("p2") + Get("p3") + Get("p4"));
-        CPPUNIT_ASSERT(RigRun(&setup.Fleet, [&]() { return Running(setup) == 4; }));
+        CPPUNIT_ASSERT(RigRunUntil(&setup.Fleet, [&]() { return Running(setup) == 4; }));
         CPPUNIT_ASSERT(AwaitAnswers(&setup, caller, 4));
         CPPUNIT_ASSERT(AnsweredIds(caller) == Ids({"p1", "p2", "p3", "p4"}));
         CPPUNIT_ASSERT_EQUAL(uint64_t{3}, setup.Instance->Callers.Overlapped);
@@ -130,8 +130,8 @@
         const RawCaller caller(&setup.Fleet.Loop, setup.Instance->Config.CallerAddress);
         RawSend(caller,
                 "GET /a/x HTTP/1.1\r\nHost: a.example\r\nWinchlink-Request-Id: stuck\r\nWinchlink-Deadline-Ms: 400\r\n\r\n" + Get("quick"));
-        CPPUNIT_ASSERT(RigRun(&setup.Fleet, [&]() { return RigRuns(setup.Fleet, "quick") == 1; }));
-        RigIdle(&setup.Fleet, 50 * UsPerMs);
+        CPPUNIT_ASSERT(RigRunUntil(&setup.Fleet, [&]() { return RigRunCount(setup.Fleet, "quick") == 1; }));
+        RigRunFor(&setup.Fleet, 50 * UsPerMs);
         CPPUNIT_ASSERT_EQUAL(size_t{0}, Answers(caller));
         CPPUNIT_ASSERT(AwaitAnswers(&setup, caller, 2));
         CPPUNIT_ASSERT(AnsweredIds(caller) == Ids({"stuck", "quick"}));
@@ -144,12 +144,12 @@
         Prepare(&setup, 1, LongWorkUs);
         const RawCaller caller(&setup.Fleet.Loop, setup.Instance->Config.CallerAddress);
         RawSend(caller, Get("before") + Post("unsafe", "b") + Get("behind"));
-        CPPUNIT_ASSERT(RigRun(&setup.Fleet, [&]() { return Running(setup) == 1; }));
-        CPPUNIT_ASSERT_EQUAL(0, RigRuns(setup.Fleet, "unsafe"));
+        CPPUNIT_ASSERT(RigRunUntil(&setup.Fleet, [&]() { return Running(setup) == 1; }));
+        CPPUNIT_ASSERT_EQUAL(0, RigRunCount(setup.Fleet, "unsafe"));
         CPPUNIT_ASSERT(AwaitAnswers(&setup, caller, 1));
-        CPPUNIT_ASSERT(RigRun(&setup.Fleet, [&]() { return RigRuns(setup.Fleet, "unsafe") == 1; }));
-        RigIdle(&setup.Fleet, 20 * UsPerMs);
-        CPPUNIT_ASSERT_EQUAL(0, RigRuns(setup.Fleet, "behind"));
+        CPPUNIT_ASSERT(RigRunUntil(&setup.Fleet, [&]() { return RigRunCount(setup.Fleet, "unsafe") == 1; }));
+        RigRunFor(&setup.Fleet, 20 * UsPerMs);
+        CPPUNIT_ASSERT_EQUAL(0, RigRunCount(setup.Fleet, "behind"));
         CPPUNIT_ASSERT(AwaitAnswers(&setup, caller, 3));
         CPPUNIT_ASSERT(AnsweredIds(caller) == Ids({"before", "unsafe", "behind"}));
         CPPUNIT_ASSERT_EQUAL(uint64_t{0}, setup.Instance->Callers.Overlapped);
@@ -173,7 +173,7 @@
             most = std::max(most, Running(setup));
             return Answers(caller) == 9;
         };
-        CPPUNIT_ASSERT(RigRun(&setup.Fleet, answered));
+        CPPUNIT_ASSERT(RigRunUntil(&setup.Fleet, answered));
         CPPUNIT_ASSERT_EQUAL(3, most);
     }
 
@@ -183,7 +183,7 @@
         Prepare(&setup, 2, 10 * UsPerSecond);
         RawCaller caller(&setup.Fleet.Loop, setup.Instance->Config.CallerAddress);
         RawSend(caller, Get("g1") + Get("g2") + Get("g3") + Post("never", "b"));
-        CPPUNIT_ASSERT(RigRun(&setup.Fleet, [&]() { return Running(setup) == 3; }));
+        CPPUNIT_ASSERT(RigRunUntil(&setup.Fleet, [&]() { return Running(setup) == 3; }));
         RawClose(&caller);
         const auto cancelled = [&]()
         {
@@ -191,14 +191,14 @@
             for (const UsersTarget* target : setup.Targets)
             {
                 ended += static_cast<int>(
-                    std::count_if(target->Saw.begin(), target->Saw.end(), [](const TargetSaw& saw) { return saw.Cancelled; }));
+                    std::count_if(target->Saw.begin(), target->Saw.end(), [](const ReceivedRequest& saw) { return saw.Cancelled; }));
             }
             return ended == 3;
         };
-        CPPUNIT_ASSERT(RigRun(&setup.Fleet, cancelled));
+        CPPUNIT_ASSERT(RigRunUntil(&setup.Fleet, cancelled));
         CPPUNIT_ASSERT_EQUAL(0, setup.Instance->Requests.InProgress);
         CPPUNIT_ASSERT(setup.Instance->Callers.Open.empty());
-        CPPUNIT_ASSERT_EQUAL(0, RigRuns(setup.Fleet, "never"));
+        CPPUNIT_ASSERT_EQUAL(0, RigRunCount(setup.Fleet, "never"));
     }
 
     void RequestsAfterConnectionCloseAreNotRun()
@@ -208,10 +208,10 @@
         const RawCaller caller(&setup.Fleet.Loop, setup.Instance->Config.CallerAddress);
         RawSend(caller, "GET /a/x HTTP/1.1\r\nHost: a.example\r\nWinchlink-Request-Id: last\r\nConnection: close\r\n\r\n" + Get("b1") +
                             Post("b2", "b"));
-        CPPUNIT_ASSERT(RigRun(&setup.Fleet, [&]() { return caller.Ended; }));
+        CPPUNIT_ASSERT(RigRunUntil(&setup.Fleet, [&]() { return caller.Ended; }));
         CPPUNIT_ASSERT_EQUAL(size_t{1}, Answers(caller));
         CPPUNIT_ASSERT_EQUAL(size_t{1}, CountOf(caller.Read, "Connection: close"));
-        CPPUNIT_ASSERT_EQUAL(0, RigRuns(setup.Fleet, "b1") + RigRuns(setup.Fleet, "b2"));
+        CPPUNIT_ASSERT_EQUAL(0, RigRunCount(setup.Fleet, "b1") + RigRunCount(setup.Fleet, "b2"));
     }
 
     // Only the last answer has "Connection: close"; later requests on the connection are not run.
@@ -221,13 +221,13 @@
         Prepare(&setup, 1, LongWorkUs);
         const RawCaller caller(&setup.Fleet.Loop, setup.Instance->Config.CallerAddress);
         RawSend(caller, Get("s1") + Get("s2") + Get("s3") + Post("s4", "b"));
-        CPPUNIT_ASSERT(RigRun(&setup.Fleet, [&]() { return Running(setup) == 3; }));
+        CPPUNIT_ASSERT(RigRunUntil(&setup.Fleet, [&]() { return Running(setup) == 3; }));
         GatewayStop(setup.Instance);
-        CPPUNIT_ASSERT(RigRun(&setup.Fleet, [&]() { return caller.Ended; }));
+        CPPUNIT_ASSERT(RigRunUntil(&setup.Fleet, [&]() { return caller.Ended; }));
         CPPUNIT_ASSERT(AnsweredIds(caller) == Ids({"s1", "s2", "s3"}));
         CPPUNIT_ASSERT_EQUAL(size_t{1}, CountOf(caller.Read, "Connection: close"));
         CPPUNIT_ASSERT(caller.Read.find("Connection: close") > caller.Read.find("Winchlink-Request-Id: s3"));
-        CPPUNIT_ASSERT_EQUAL(0, RigRuns(setup.Fleet, "s4"));
+        CPPUNIT_ASSERT_EQUAL(0, RigRunCount(setup.Fleet, "s4"));
     }
 
     void RequestsMayBeSplitAnywhere()
@@ -241,7 +241,7 @@
         {
             const RawCaller caller(&setup.Fleet.Loop, setup.Instance->Config.CallerAddress);
             RawSend(caller, all.substr(0, split));
-            RigIdle(&setup.Fleet, UsPerMs);
+            RigRunFor(&setup.Fleet, UsPerMs);
             RawSend(caller, all.substr(split));
             CPPUNIT_ASSERT(AwaitAnswers(&setup, caller, 4));
             CPPUNIT_ASSERT(AnsweredIds(caller) == Ids({"w1", "w2", "w3", "w4"}));
@@ -287,11 +287,11 @@
         {
             const RawCaller caller(&setup.Fleet.Loop, setup.Instance->Config.CallerAddress);
             RawSend(caller, bytes);
-            CPPUNIT_ASSERT_MESSAGE(bytes, RigRun(&setup.Fleet, [&]() { return caller.Ended; }));
+            CPPUNIT_ASSERT_MESSAGE(bytes, RigRunUntil(&setup.Fleet, [&]() { return caller.Ended; }));
             CPPUNIT_ASSERT_EQUAL_MESSAGE(bytes, size_t{0}, caller.Read.find("HTTP/1.1 400"));
             CPPUNIT_ASSERT_EQUAL_MESSAGE(bytes, size_t{1}, Answers(caller));
         }
-        CPPUNIT_ASSERT_EQUAL(0, RigRuns(setup.Fleet, "amb") + RigRuns(setup.Fleet, "smuggled"));
+        CPPUNIT_ASSERT_EQUAL(0, RigRunCount(setup.Fleet, "amb") + RigRunCount(setup.Fleet, "smuggled"));
     }
 
     // Trailers behind a chunked body must not be taken as headers, however the bytes are split into reads.
@@ -309,7 +309,7 @@
                 waiting += bytes.substr(at, piece);
                 RequestReaderFeed(&reader, &waiting);
             }
-            CPPUNIT_ASSERT_EQUAL(ReadState_Whole, reader.State);
+            CPPUNIT_ASSERT_EQUAL(ReadState_Complete, reader.State);
             CPPUNIT_ASSERT_EQUAL(std::string("abc"), reader.Request.Body);
             CPPUNIT_ASSERT_EQUAL(size_t{2}, reader.Request.Headers.size());
             CPPUNIT_ASSERT_EQUAL(std::string("a.example"), reader.Request.Headers[0].Value);
@@ -337,11 +337,11 @@
         Prepare(&setup, 1, LongWorkUs);
         const RawCaller caller(&setup.Fleet.Loop, setup.Instance->Config.CallerAddress);
         RawSend(caller, Get("m1") + Get("m2") + "\x16\x03 no request\r\n\r\n" + Get("m3"));
-        CPPUNIT_ASSERT(RigRun(&setup.Fleet, [&]() { return caller.Ended; }));
+        CPPUNIT_ASSERT(RigRunUntil(&setup.Fleet, [&]() { return caller.Ended; }));
         CPPUNIT_ASSERT_EQUAL(size_t{3}, Answers(caller));
         CPPUNIT_ASSERT(AnsweredIds(caller) == Ids({"m1", "m2"}));
         CPPUNIT_ASSERT(caller.Read.find("HTTP/1.1 400") > caller.Read.find("m2"));
-        CPPUNIT_ASSERT_EQUAL(0, RigRuns(setup.Fleet, "m3"));
+        CPPUNIT_ASSERT_EQUAL(0, RigRunCount(setup.Fleet, "m3"));
     }
 
     void ExpectContinueIsAnswered()
@@ -351,10 +351,10 @@
         const RawCaller caller(&setup.Fleet.Loop, setup.Instance->Config.CallerAddress);
         RawSend(caller,
                 "POST /u/x HTTP/1.1\r\nHost: a.example\r\nWinchlink-Request-Id: cont\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n");
-        CPPUNIT_ASSERT(RigRun(&setup.Fleet, [&]() { return caller.Read == "HTTP/1.1 100 Continue\r\n\r\n"; }));
+        CPPUNIT_ASSERT(RigRunUntil(&setup.Fleet, [&]() { return caller.Read == "HTTP/1.1 100 Continue\r\n\r\n"; }));
         RawSend(caller, "ok");
         CPPUNIT_ASSERT(AwaitAnswers(&setup, caller, 2));
-        CPPUNIT_ASSERT_EQUAL(1, RigRuns(setup.Fleet, "cont"));
+        CPPUNIT_ASSERT_EQUAL(1, RigRunCount(setup.Fleet, "cont"));
     }
 };
 
--- a/tests/plan_test.cpp
+++ b/tests/plan_test.cpp
@@ -52,7 +52,7 @@
         CHECK_PROPERTY("the route found is the one that trying every prefix finds",
                        []()
                        {
-                           Dice dice;
+                           TestRandom dice;
                            RoutePlan plan;
                            std::set<std::string> used;
                            for (int n = 0; n < 12; n++)
@@ -108,9 +108,9 @@
     {
         Route route = MakeRoute("r", "", "/");
         route.RetryMethods = {"GET", "PUT"};
-        CPPUNIT_ASSERT(MayRepeat(route, "PUT") && !MayRepeat(route, "POST") && !MayRepeat(route, "get"));
+        CPPUNIT_ASSERT(MayRetry(route, "PUT") && !MayRetry(route, "POST") && !MayRetry(route, "get"));
         route.Retryable = true;
-        CPPUNIT_ASSERT(MayRepeat(route, "POST"));
+        CPPUNIT_ASSERT(MayRetry(route, "POST"));
     }
 
     void SplitFollowsWeights()
@@ -118,7 +118,7 @@
         CHECK_PROPERTY("after any number of requests each part is within one request of its share",
                        []()
                        {
-                           Dice dice;
+                           TestRandom dice;
                            std::vector<RoutePart> parts;
                            int64_t sum = 0;
                            for (int64_t n = dice.Between(2, 5); n > 0; n--)
@@ -150,7 +150,7 @@
         CHECK_PROPERTY("over 200 requests of a fleet each part is within 0.1 of its weight",
                        []()
                        {
-                           Dice dice;
+                           TestRandom dice;
                            const std::vector<RoutePart> parts = {{"a", 90}, {"b", 10}};
                            std::vector<RouteSplit> fleet(18);
                            int few = 0;
--- a/tests/pool_load_test.cpp
+++ b/tests/pool_load_test.cpp
@@ -52,7 +52,7 @@
     model->Pools.resize(InstanceCount);
     for (TargetPool& pool : model->Pools)
     {
-        PoolFollow(&pool, all, "dc", &model->Rng);
+        PoolSync(&pool, all, "dc", &model->Rng);
     }
 }
 
--- a/tests/pool_model.h
+++ b/tests/pool_model.h
@@ -37,7 +37,7 @@
         *probes->Now += probes->ProbeUs;
         const TimeUs now = *probes->Now;
         PoolReport(next, probes->LoadOf(next->Id), now);
-        const bool has_capacity = PoolHasRoom(*pool, *next) && PoolMayTakeCold(*pool, *next, now);
+        const bool has_capacity = PoolHasFreeSlot(*pool, *next) && PoolMaySendCold(*pool, *next, now);
         const double cost = PoolCost(*pool, *next, now);
         best = has_capacity && (best == nullptr || cost < PoolCost(*pool, *best, now)) ? next : best;
         if (has_capacity && cost <= pool->Config.GoodCost)
--- a/tests/pool_test.cpp
+++ b/tests/pool_test.cpp
@@ -24,7 +24,7 @@
     }
     TargetPool pool;
     Random random(1);
-    PoolFollow(&pool, DirectoryByService(directory)["svc"], "near", &random);
+    PoolSync(&pool, DirectoryByService(directory)["svc"], "near", &random);
     return pool;
 }
 
@@ -107,7 +107,7 @@
             now = failing->AvoidUntilUs;
         }
         PoolFailed(pool.Config, failing, now);
-        PoolGood(failing);
+        PoolSucceeded(failing);
         CPPUNIT_ASSERT_EQUAL(TimeUs{0}, failing->AvoidUntilUs);
         // A request that may not be retried avoids the target for longer.
         CPPUNIT_ASSERT(PoolNext(&pool, {}, true, now)->Id != "t0");
@@ -137,15 +137,15 @@
         DirectoryPut(&directory, target, 0);
         TargetPool pool;
         Random random(1);
-        PoolFollow(&pool, DirectoryByService(directory)["svc"], "near", &random);
+        PoolSync(&pool, DirectoryByService(directory)["svc"], "near", &random);
         PoolFind(&pool, "t")->InFlight = 2;
         target.Id = "u";
         DirectoryPut(&directory, target, 0);
-        PoolFollow(&pool, DirectoryByService(directory)["svc"], "near", &random);
+        PoolSync(&pool, DirectoryByService(directory)["svc"], "near", &random);
         CPPUNIT_ASSERT_EQUAL(size_t{2}, pool.Targets.size());
         CPPUNIT_ASSERT_EQUAL(2, PoolFind(&pool, "t")->InFlight);
-        DirectoryLeaves(&directory, "t");
-        PoolFollow(&pool, DirectoryByService(directory)["svc"], "near", &random);
+        DirectoryMarkReplaced(&directory, "t");
+        PoolSync(&pool, DirectoryByService(directory)["svc"], "near", &random);
         CPPUNIT_ASSERT(PoolFind(&pool, "t") == nullptr);
     }
 
@@ -178,7 +178,7 @@
         added.DataCentre = "near";
         DirectoryPut(&directory, added, 0);
         Random random(7);
-        PoolFollow(&pool, DirectoryByService(directory)["svc"], "near", &random);
+        PoolSync(&pool, DirectoryByService(directory)["svc"], "near", &random);
         CPPUNIT_ASSERT_EQUAL(std::string("new"), PoolNext(&pool, {}, false, UsPerSecond)->Id);
         PoolSent(&pool, PoolFind(&pool, "new"));
         PoolFind(&pool, "new")->InFlight = 0;
@@ -208,21 +208,21 @@
         return best;
     }
 
-    static DirectoryTarget DrawEntry(Dice* dice, int number, TimeUs now)
+    static DirectoryTarget DrawEntry(TestRandom* dice, int number, TimeUs now)
     {
         DirectoryTarget target;
         target.Id = fmt::format("t{}", number);
         target.DataCentre = dice->OneIn(2) ? "near" : "far";
         target.Slots = static_cast<int>(dice->Between(1, 4));
         target.Weight = static_cast<int>(dice->Between(1, 3));
-        target.Presence = dice->OneIn(8) ? Presence_Vanished : dice->OneIn(8) ? Presence_Leaving : Presence_Ready;
+        target.Presence = dice->OneIn(8) ? Presence_Missing : dice->OneIn(8) ? Presence_Draining : Presence_Ready;
         target.Evacuated = dice->OneIn(10);
         target.ColdUntilUs = dice->OneIn(4) ? now + dice->Between(0, 4) * UsPerSecond : 0;
         return target;
     }
 
     // Applies a random event to a target: a report, a request, an end, a failure or a success.
-    static void ApplyRandomEvent(Dice* dice, TargetPool* pool, PoolTarget* target, TimeUs now)
+    static void ApplyRandomEvent(TestRandom* dice, TargetPool* pool, PoolTarget* target, TimeUs now)
     {
         switch (dice->Between(0, 5))
         {
@@ -239,7 +239,7 @@
             PoolFailed(pool->Config, target, now);
             return;
         default:
-            PoolGood(target);
+            PoolSucceeded(target);
             return;
         }
     }
@@ -249,7 +249,7 @@
         CHECK_PROPERTY("whatever became of targets, the next one to ask is the one that a look at all of them finds",
                        []()
                        {
-                           Dice dice;
+                           TestRandom dice;
                            TargetPool pool;
                            pool.Config.ColdPerS = dice.OneIn(2) ? 2.5 : 0;
                            pool.Config.ColdUs = 3 * UsPerSecond;
@@ -267,7 +267,7 @@
                                    {
                                        list.push_back(&entry.second);
                                    }
-                                   PoolFollow(&pool, list, dice.OneIn(20) ? "far" : "near", &dice.Rng);
+                                   PoolSync(&pool, list, dice.OneIn(20) ? "far" : "near", &dice.Rng);
                                }
                                const bool careful = dice.OneIn(2);
                                std::vector<std::string> passed;
@@ -292,7 +292,7 @@
         CHECK_PROPERTY("more work, a slower pace or a cold start never make a target cheaper",
                        []()
                        {
-                           Dice dice;
+                           TestRandom dice;
                            const TargetPool pool;
                            const TimeUs now = 10 * UsPerSecond;
                            PoolTarget a;
@@ -316,9 +316,9 @@
     // Each instance's budget counts only its own requests; the limit applies to the sum over the fleet.
     static void PlayFleet(bool unlimited)
     {
-        Dice dice;
+        TestRandom dice;
         const auto instances = static_cast<size_t>(dice.Between(1, 30));
-        std::vector<RepeatBudget> fleet(instances);
+        std::vector<RetryBudget> fleet(instances);
         FleetCounts counts;
         counts.Requests.reserve(4000);
         TimeUs now = 100 * UsPerSecond;
@@ -327,10 +327,10 @@
         {
             // The load rises and falls, and instances get requests at random.
             now += dice.Between(0, n % 1000 < 500 ? 4 : 40) * UsPerMs;
-            RepeatBudget& budget = fleet[static_cast<size_t>(dice.Between(0, static_cast<int64_t>(instances)))];
-            RepeatBudgetRequest(&budget, now);
+            RetryBudget& budget = fleet[static_cast<size_t>(dice.Between(0, static_cast<int64_t>(instances)))];
+            RetryBudgetCount(&budget, now);
             counts.Requests.push_back(now);
-            if (dice.OneIn(2) && (RepeatBudgetTake(&budget, dice.OneIn(2) ? 1.0 : 0.5, now) || unlimited))
+            if (dice.OneIn(2) && (RetryBudgetTake(&budget, dice.OneIn(2) ? 1.0 : 0.5, now) || unlimited))
             {
                 counts.Repeats.push_back(now);
             }
@@ -361,17 +361,17 @@
     // budget's window ended in between.
     void AnUnusedRetryIsRefundedInAnyStep()
     {
-        RepeatBudget budget;
-        const TimeUs step = budget.WindowUs / static_cast<TimeUs>(RepeatBudget::Steps);
+        RetryBudget budget;
+        const TimeUs step = budget.WindowUs / static_cast<TimeUs>(RetryBudget::Steps);
         const TimeUs taken = 100 * step - 1; // The last microsecond of a step.
-        RepeatBudgetRequest(&budget, taken);
+        RetryBudgetCount(&budget, taken);
         for (TimeUs later = 0; later < budget.WindowUs; later += step)
         {
-            CPPUNIT_ASSERT(RepeatBudgetTake(&budget, 1.0, taken));
-            CPPUNIT_ASSERT(!RepeatBudgetTake(&budget, 1.0, taken + later));
-            RepeatBudgetReturn(&budget, taken);
-            CPPUNIT_ASSERT(RepeatBudgetTake(&budget, 1.0, taken + later));
-            RepeatBudgetReturn(&budget, taken + later);
+            CPPUNIT_ASSERT(RetryBudgetTake(&budget, 1.0, taken));
+            CPPUNIT_ASSERT(!RetryBudgetTake(&budget, 1.0, taken + later));
+            RetryBudgetRefund(&budget, taken);
+            CPPUNIT_ASSERT(RetryBudgetTake(&budget, 1.0, taken + later));
+            RetryBudgetRefund(&budget, taken + later);
         }
     }
 };
--- a/tests/ask_time_load_test.cpp
+++ b/tests/probe_timeout_load_test.cpp
@@ -1,4 +1,4 @@
-// ask_time_load_test.cpp: the timeout of load probes, simulated for slow, distant and dead targets.
+// probe_timeout_load_test.cpp: the timeout of load probes, simulated for slow, distant and dead targets.
 //
 // Guards against a timeout that stays too short for slow or distant targets, or grows although targets answer fast.
 
@@ -13,7 +13,7 @@
 
 struct ProbeLoad
 {
-    AskTime Timeout;
+    AdaptiveProbeTimeout Timeout;
     Random Rng{20261203};
     double SlowShare = 0.25;
     double DeadShare = 0;   // Share of the probes that are never answered.
@@ -32,8 +32,8 @@
     const bool dead = Draw(load, 0, 1) < load->DeadShare;
     const double pace = Draw(load, 0, 1) < load->SlowShare ? SlowFactor : 1;
     const double took_ms = ProbeMs * pace + Draw(load, 1, load->RoundTripMs);
-    const bool in_time = !dead && took_ms * UsPerMs <= static_cast<double>(AskTimeNow(load->Timeout));
-    in_time ? AskTimeAnswered(&load->Timeout) : AskTimeLate(&load->Timeout);
+    const bool in_time = !dead && took_ms * UsPerMs <= static_cast<double>(ProbeTimeoutNow(load->Timeout));
+    in_time ? ProbeTimeoutAnswered(&load->Timeout) : ProbeTimeoutExpired(&load->Timeout);
     load->Answered += in_time ? 1 : 0;
     load->Late += !dead && !in_time ? 1 : 0;
 }
@@ -47,9 +47,9 @@
     return load;
 }
 
-class AskTimeLoadTest : public CPPUNIT_NS::TestFixture
+class ProbeTimeoutLoadTest : public CPPUNIT_NS::TestFixture
 {
-    CPPUNIT_TEST_SUITE(AskTimeLoadTest);
+    CPPUNIT_TEST_SUITE(ProbeTimeoutLoadTest);
     CPPUNIT_TEST(AQuarterOfTheTargetsIsSlow);
     CPPUNIT_TEST(TargetsAreFarAway);
     CPPUNIT_TEST(ATenthNeverAnswers);
@@ -76,7 +76,7 @@
         ProbeLoad load;
         load.DeadShare = 0.1;
         const ProbeLoad played = Play(load);
-        CPPUNIT_ASSERT(AskTimeNow(played.Timeout) <= played.Timeout.MaxUs);
+        CPPUNIT_ASSERT(ProbeTimeoutNow(played.Timeout) <= played.Timeout.MaxUs);
         CPPUNIT_ASSERT(played.Late <= ProbeCount / 50);
     }
 
@@ -86,22 +86,22 @@
         fast.SlowShare = 0;
         const ProbeLoad played = Play(fast);
         CPPUNIT_ASSERT_EQUAL(0, played.Late);
-        CPPUNIT_ASSERT_EQUAL(played.Timeout.MinUs, AskTimeNow(played.Timeout));
+        CPPUNIT_ASSERT_EQUAL(played.Timeout.MinUs, ProbeTimeoutNow(played.Timeout));
     }
 
     void ShrinksWhenProbesAreAnswered()
     {
-        AskTime time;
-        AskTimeLate(&time);
-        const TimeUs grown = AskTimeNow(time);
+        AdaptiveProbeTimeout time;
+        ProbeTimeoutExpired(&time);
+        const TimeUs grown = ProbeTimeoutNow(time);
         CPPUNIT_ASSERT(grown > time.MinUs);
         const int needed = static_cast<int>(1 / time.LateShare); // Answered probes that offset a late one.
         for (int n = 0; n < needed; n++)
         {
-            CPPUNIT_ASSERT(AskTimeNow(time) > time.MinUs || n > needed / 2);
-            AskTimeAnswered(&time);
+            CPPUNIT_ASSERT(ProbeTimeoutNow(time) > time.MinUs || n > needed / 2);
+            ProbeTimeoutAnswered(&time);
         }
-        CPPUNIT_ASSERT_EQUAL(time.MinUs, AskTimeNow(time));
+        CPPUNIT_ASSERT_EQUAL(time.MinUs, ProbeTimeoutNow(time));
     }
 
     // A planted fault, a timeout that never grows, is detected.
@@ -113,6 +113,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(AskTimeLoadTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ProbeTimeoutLoadTest);
 
 } // namespace Winchlink
--- a/tests/quarantine_fleet.h
+++ b/tests/quarantine_fleet.h
@@ -38,7 +38,7 @@
     UsersTarget& AddTarget()
     {
         UsersTarget& target = RigTarget(&Parts, fmt::format("t{}", ++Targets));
-        target.EndsOn = CrashingPath;
+        target.CrashPrefix = CrashingPath;
         return target;
     }
 
@@ -48,7 +48,7 @@
         Parts.Targets.push_back(std::make_unique<UsersTarget>());
         UsersTarget& target = *Parts.Targets.back();
         CPPUNIT_ASSERT(UsersTargetStart(&target, &Parts.Loop, id, FreeAddress()));
-        target.EndsOn = CrashingPath;
+        target.CrashPrefix = CrashingPath;
         UsersStoreTarget(&Parts.Store, id, "svc", target.Address, "dc-a", false, 0, life);
     }
 
@@ -59,7 +59,7 @@
         settings.Peers = SeedAddresses;
         settings.PeerAddress = index < SeedAddresses.size() ? SeedAddresses[index] : FreeAddress();
         Instances.push_back(&RigStartWith(&Parts, settings));
-        RigAwait(&Parts, *Instances.back(), static_cast<size_t>(Targets));
+        RigWaitForPlan(&Parts, *Instances.back(), static_cast<size_t>(Targets));
         return *Instances.back();
     }
 
@@ -78,7 +78,7 @@
         RigCall call;
         call.Method = method;
         call.Target = CrashingPath;
-        return RigAsk(&Parts, instance, call);
+        return RigSendAndWait(&Parts, instance, call);
     }
 };
 
--- a/tests/quarantine_load_test.cpp
+++ b/tests/quarantine_load_test.cpp
@@ -118,7 +118,7 @@
     LoadSetting Setting;
     Random Rng;
     std::vector<Quarantine> Instances;
-    std::vector<SilentEnds> Silent; // Of each instance.
+    std::vector<SilentCrashes> Silent; // Of each instance.
     std::vector<Target> Targets;
     std::priority_queue<Event> Events;
     LoadResult Result;
@@ -158,7 +158,7 @@
     void Send(const Work& work)
     {
         const Quarantine& known = Instances[work.Instance];
-        if (Setting.Rule != QuarantineRule_None && QuarantineUntil(known, work.Key, Now) > 0)
+        if (Setting.Rule != QuarantineRule_None && QuarantineEndUs(known, work.Key, Now) > 0)
         {
             Result.QuarantinedWrongly += work.CrashesTargets ? 0 : 1;
             return;
@@ -201,9 +201,9 @@
         Result.Served++;
         if (Setting.Rule == QuarantineRule_Full)
         {
-            SilentAnswered(&Silent[work.Instance], work.Key);
+            SilentCrashesAnswered(&Silent[work.Instance], work.Key);
         }
-        if (Setting.Rule == QuarantineRule_Full && QuarantineAnswered(&Instances[work.Instance], work.Key))
+        if (Setting.Rule == QuarantineRule_Full && QuarantineClear(&Instances[work.Instance], work.Key))
         {
             SendUpdates(work.Instance);
         }
@@ -236,7 +236,7 @@
 
     void OnAttemptTimeout(const Work& work, uint64_t life)
     {
-        if (SilentAttemptEnded(&Silent[work.Instance], {work.Key, TargetLife("t", life), work.SentUs}, Now))
+        if (SilentCrashesAddAttempt(&Silent[work.Instance], {work.Key, TargetIncarnation("t", life), work.SentUs}, Now))
         {
             AddCrash(work, life);
         }
@@ -246,7 +246,7 @@
     {
         for (size_t n = 0; n < Silent.size(); n++)
         {
-            for (const SilentAttempt& attempt : SilentTargetEnded(&Silent[n], TargetLife("t", life), Now))
+            for (const UnansweredAttempt& attempt : SilentCrashesAddTarget(&Silent[n], TargetIncarnation("t", life), Now))
             {
                 AddCrash({attempt.Request, n, false}, life);
             }
@@ -255,7 +255,8 @@
 
     void AddCrash(const Work& work, uint64_t life)
     {
-        if (Setting.Rule != QuarantineRule_None && QuarantineNote(&Instances[work.Instance], work.Key, TargetLife("t", life), Now))
+        if (Setting.Rule != QuarantineRule_None &&
+            QuarantineAddCrash(&Instances[work.Instance], work.Key, TargetIncarnation("t", life), Now))
         {
             SendUpdates(work.Instance);
         }
@@ -267,13 +268,13 @@
         {
             return;
         }
-        const std::vector<TargetEndNews> news = QuarantineTell(Instances[from], Now);
+        const std::vector<TargetCrashUpdate> news = QuarantineExport(Instances[from], Now);
         Schedule(SpreadUs,
                  [this, news]()
                  {
                      for (Quarantine& other : Instances)
                      {
-                         QuarantineTake(&other, news, Now);
+                         QuarantineMerge(&other, news, Now);
                      }
                  });
     }
--- a/tests/quarantine_test.cpp
+++ b/tests/quarantine_test.cpp
@@ -42,7 +42,7 @@
             fleet.SendCrashingCall(*fleet.Instances[n]);
         }
         CPPUNIT_ASSERT_EQUAL(3, fleet.CrashedCount());
-        RigIdle(&fleet.Parts, SpreadUs);
+        RigRunFor(&fleet.Parts, SpreadUs);
         for (int round = 0; round < 2; round++)
         {
             for (const Gateway* instance : fleet.Instances)
@@ -54,7 +54,7 @@
         const Gateway& started_since = fleet.AddInstance();
         CPPUNIT_ASSERT_EQUAL(503, fleet.SendCrashingCall(started_since).Answer.Status);
         CPPUNIT_ASSERT_EQUAL(3, fleet.CrashedCount());
-        CPPUNIT_ASSERT_EQUAL(200, RigAsk(&fleet.Parts, *fleet.Instances[0], RigCall()).Answer.Status); // Other requests are served.
+        CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&fleet.Parts, *fleet.Instances[0], RigCall()).Answer.Status); // Other requests are served.
     }
 
     void ARequestThatMayNotBeRetriedIsQuarantined()
@@ -64,12 +64,12 @@
         {
             CPPUNIT_ASSERT_EQUAL(502, fleet.SendCrashingCall(*fleet.Instances[0], "POST").Answer.Status);
         }
-        RigIdle(&fleet.Parts, SpreadUs);
+        RigRunFor(&fleet.Parts, SpreadUs);
         const RigAnswer answer = fleet.SendCrashingCall(*fleet.Instances[1], "POST");
         CPPUNIT_ASSERT_EQUAL(503, answer.Answer.Status);
         CPPUNIT_ASSERT_EQUAL(std::to_string(Code_RequestHeld), *FindHeader(answer.Answer.Headers, HeaderCode));
         CPPUNIT_ASSERT(std::stod(*FindHeader(answer.Answer.Headers, "Retry-After")) > 590); // Until the quarantine ends.
-        CPPUNIT_ASSERT_EQUAL(0, RigRuns(fleet.Parts, answer.Id));
+        CPPUNIT_ASSERT_EQUAL(0, RigRunCount(fleet.Parts, answer.Id));
     }
 
     void RequestKeysDependOnCredentials()
@@ -98,11 +98,11 @@
         for (int n = 0; n < 4; n++)
         {
             fleet.Parts.Targets[0]->Script = {n % 2 == 0 ? TargetAct_Close : TargetAct_Reset};
-            RigAsk(&fleet.Parts, *fleet.Instances[0], RigCall());
+            RigSendAndWait(&fleet.Parts, *fleet.Instances[0], RigCall());
         }
-        RigIdle(&fleet.Parts, SpreadUs);
+        RigRunFor(&fleet.Parts, SpreadUs);
         CPPUNIT_ASSERT(fleet.Instances[0]->Requests.Quarantined.Requests.empty());
-        CPPUNIT_ASSERT_EQUAL(200, RigAsk(&fleet.Parts, *fleet.Instances[0], RigCall()).Answer.Status);
+        CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&fleet.Parts, *fleet.Instances[0], RigCall()).Answer.Status);
     }
 
     void ADrainingTargetIsNoCrash()
@@ -111,13 +111,13 @@
         UsersTarget& target = *fleet.Parts.Targets[0];
         target.WorkUs = 200 * UsPerMs;
         const RigAnswerPtr answer = RigSend(&fleet.Parts, *fleet.Instances[0], RigCall());
-        CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return target.Running == 1; }));
+        CPPUNIT_ASSERT(RigRunUntil(&fleet.Parts, [&]() { return target.Running == 1; }));
         UsersStoreTarget(&fleet.Parts.Store, target.Id, "svc", target.Address, "dc-a", true);
         const TargetPool& pool = fleet.Instances[0]->Requests.Services.at("svc").Pool;
-        CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return pool.Targets.empty(); }));
+        CPPUNIT_ASSERT(RigRunUntil(&fleet.Parts, [&]() { return pool.Targets.empty(); }));
         UsersTargetStop(&target);
-        CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return answer->Done; }));
-        RigIdle(&fleet.Parts, SpreadUs);
+        CPPUNIT_ASSERT(RigRunUntil(&fleet.Parts, [&]() { return answer->Done; }));
+        RigRunFor(&fleet.Parts, SpreadUs);
         CPPUNIT_ASSERT(fleet.Instances[0]->Requests.Quarantined.Requests.empty());
     }
 
@@ -130,12 +130,12 @@
         CPPUNIT_ASSERT_EQUAL(2, fleet.CrashedCount());
         for (const auto& target : fleet.Parts.Targets)
         {
-            target->EndsOn.clear();
+            target->CrashPrefix.clear();
         }
         CPPUNIT_ASSERT_EQUAL(200, fleet.SendCrashingCall(*fleet.Instances[0]).Answer.Status);
         const Quarantine& other = fleet.Instances[1]->Requests.Quarantined;
-        CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return other.Digest == fleet.Instances[0]->Requests.Quarantined.Digest; }));
-        CPPUNIT_ASSERT_EQUAL(0, QuarantineEnds(other, other.Requests.begin()->first));
+        CPPUNIT_ASSERT(RigRunUntil(&fleet.Parts, [&]() { return other.Digest == fleet.Instances[0]->Requests.Quarantined.Digest; }));
+        CPPUNIT_ASSERT_EQUAL(0, QuarantineCrashCount(other, other.Requests.begin()->first));
     }
 
     // A target that restarts at once under the same id: each incarnation counts.
@@ -148,7 +148,7 @@
             const uint64_t life = 1000 + static_cast<uint64_t>(n);
             fleet.RestartTarget("t1", life);
             const TargetDirectory& directory = fleet.Instances[0]->Requests.Directory;
-            CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return directory.Targets.at("t1").Incarnation == life; }));
+            CPPUNIT_ASSERT(RigRunUntil(&fleet.Parts, [&]() { return directory.Targets.at("t1").Incarnation == life; }));
         }
         CPPUNIT_ASSERT_EQUAL(503, fleet.SendCrashingCall(*fleet.Instances[0]).Answer.Status);
     }
@@ -164,31 +164,32 @@
         fleet.SendCrashingCall(first);
         fleet.SendCrashingCall(first);
         fleet.SendCrashingCall(second);
-        RigIdle(&fleet.Parts, 2 * SpreadUs);
+        RigRunFor(&fleet.Parts, 2 * SpreadUs);
         const std::string key = first.Requests.Quarantined.Requests.begin()->first;
-        CPPUNIT_ASSERT_EQUAL(2, QuarantineEnds(first.Requests.Quarantined, key));
-        CPPUNIT_ASSERT_EQUAL(1, QuarantineEnds(second.Requests.Quarantined, key));
+        CPPUNIT_ASSERT_EQUAL(2, QuarantineCrashCount(first.Requests.Quarantined, key));
+        CPPUNIT_ASSERT_EQUAL(1, QuarantineCrashCount(second.Requests.Quarantined, key));
         CPPUNIT_ASSERT(bool(RelayStart(&first.Peers, &fleet.Parts.Loop, &first.Rng, fleet.SeedAddresses[0])));
         CPPUNIT_ASSERT(bool(RelayStart(&second.Peers, &fleet.Parts.Loop, &second.Rng, fleet.SeedAddresses[1])));
         const auto know_all = [&]()
         {
-            return QuarantineEnds(first.Requests.Quarantined, key) == 3 && QuarantineEnds(second.Requests.Quarantined, key) == 3;
+            return QuarantineCrashCount(first.Requests.Quarantined, key) == 3 &&
+                   QuarantineCrashCount(second.Requests.Quarantined, key) == 3;
         };
-        CPPUNIT_ASSERT(RigRun(&fleet.Parts, know_all));
+        CPPUNIT_ASSERT(RigRunUntil(&fleet.Parts, know_all));
     }
 
     // The store does not answer from before the first crash on, so that instances change their sources.
     void CrashesAreExchangedWithoutTheStore()
     {
         QuarantineFleet fleet(4, 6);
-        RigIdle(&fleet.Parts, SpreadUs);
+        RigRunFor(&fleet.Parts, SpreadUs);
         UsersStoreSetMode(&fleet.Parts.Store, StoreMode_Silent);
-        RigIdle(&fleet.Parts, 3 * UsPerSecond); // All instances have noticed by then.
+        RigRunFor(&fleet.Parts, 3 * UsPerSecond); // All instances have noticed by then.
         for (size_t n = 0; n < 3; n++)
         {
             fleet.SendCrashingCall(*fleet.Instances[n]);
         }
-        RigIdle(&fleet.Parts, 2 * UsPerSecond);
+        RigRunFor(&fleet.Parts, 2 * UsPerSecond);
         for (const Gateway* instance : fleet.Instances)
         {
             CPPUNIT_ASSERT_EQUAL(503, fleet.SendCrashingCall(*instance).Answer.Status);
@@ -204,9 +205,9 @@
             fleet.SendCrashingCall(*fleet.Instances[0]);
         }
         const Gateway& other = *fleet.Instances[1];
-        CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return !other.Requests.Quarantined.Requests.empty(); }));
+        CPPUNIT_ASSERT(RigRunUntil(&fleet.Parts, [&]() { return !other.Requests.Quarantined.Requests.empty(); }));
         const std::string key = other.Requests.Quarantined.Requests.begin()->first;
-        CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return QuarantineEnds(other.Requests.Quarantined, key) == 3; }));
+        CPPUNIT_ASSERT(RigRunUntil(&fleet.Parts, [&]() { return QuarantineCrashCount(other.Requests.Quarantined, key) == 3; }));
         CPPUNIT_ASSERT(StatusText(other).find(key) != std::string::npos);
         CPPUNIT_ASSERT(MetricsText(other).find("winchlink_requests_held 1\n") != std::string::npos);
         ClientRequest lift;
@@ -216,10 +217,10 @@
         lift.HasBody = true;
         std::string said;
         ClientSend(&fleet.Parts.Callers, lift, [&](const ClientAnswer& answer) { said = answer.Body; });
-        CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return !said.empty(); }));
+        CPPUNIT_ASSERT(RigRunUntil(&fleet.Parts, [&]() { return !said.empty(); }));
         CPPUNIT_ASSERT_EQUAL(std::string(LiftedText), said);
         const Quarantine& first = fleet.Instances[0]->Requests.Quarantined;
-        CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return QuarantineEnds(first, key) == 0; }));
+        CPPUNIT_ASSERT(RigRunUntil(&fleet.Parts, [&]() { return QuarantineCrashCount(first, key) == 0; }));
         CPPUNIT_ASSERT_EQUAL(
             502,
             fleet.SendCrashingCall(*fleet.Instances[0]).Answer.Status); // It is sent to a target, and the count starts at zero.
@@ -231,34 +232,34 @@
         CHECK_PROPERTY("whoever has heard the same holds the same, in whatever order and however often",
                        []()
                        {
-                           Dice dice;
+                           TestRandom dice;
                            Quarantine source;
                            const TimeUs now = 100 * UsPerSecond;
                            for (int64_t n = dice.Between(1, 30); n > 0; n--)
                            {
                                const std::string request = fmt::format("r{}", dice.Between(0, 4));
-                               QuarantineNote(&source, request, fmt::format("t{}", dice.Between(0, 8)), dice.Between(0, now));
+                               QuarantineAddCrash(&source, request, fmt::format("t{}", dice.Between(0, 8)), dice.Between(0, now));
                                if (dice.OneIn(8))
                                {
-                                   QuarantineAnswered(&source, request);
+                                   QuarantineClear(&source, request);
                                }
                            }
-                           std::vector<TargetEndNews> news = QuarantineTell(source, now);
+                           std::vector<TargetCrashUpdate> news = QuarantineExport(source, now);
                            Quarantine all;
-                           QuarantineTake(&all, news, now);
+                           QuarantineMerge(&all, news, now);
                            Quarantine parts;
                            std::reverse(news.begin(), news.end());
-                           for (const TargetEndNews& one : news)
+                           for (const TargetCrashUpdate& one : news)
                            {
-                               QuarantineTake(&parts, {one}, now);
-                               QuarantineTake(&parts, {one}, now);
+                               QuarantineMerge(&parts, {one}, now);
+                               QuarantineMerge(&parts, {one}, now);
                            }
                            RC_ASSERT(all.Digest == source.Digest && parts.Digest == source.Digest);
                            for (const auto& [key, request] : source.Requests)
                            {
-                               RC_ASSERT(QuarantineUntil(parts, key, now) == QuarantineUntil(source, key, now));
+                               RC_ASSERT(QuarantineEndUs(parts, key, now) == QuarantineEndUs(source, key, now));
                            }
-                           RC_ASSERT(!QuarantineTake(&all, QuarantineTell(parts, now + UsPerSecond), now + UsPerSecond));
+                           RC_ASSERT(!QuarantineMerge(&all, QuarantineExport(parts, now + UsPerSecond), now + UsPerSecond));
                        });
     }
 
@@ -268,16 +269,16 @@
         const TimeUs hold = quarantine.Config.QuarantineUs;
         for (int n = 0; n < 3; n++)
         {
-            CPPUNIT_ASSERT_EQUAL(TimeUs{0}, QuarantineUntil(quarantine, "r", UsPerSecond));
-            QuarantineNote(&quarantine, "r", fmt::format("t{}", n), UsPerSecond);
+            CPPUNIT_ASSERT_EQUAL(TimeUs{0}, QuarantineEndUs(quarantine, "r", UsPerSecond));
+            QuarantineAddCrash(&quarantine, "r", fmt::format("t{}", n), UsPerSecond);
         }
-        CPPUNIT_ASSERT_EQUAL(UsPerSecond + hold, QuarantineUntil(quarantine, "r", UsPerSecond));
+        CPPUNIT_ASSERT_EQUAL(UsPerSecond + hold, QuarantineEndUs(quarantine, "r", UsPerSecond));
         const TimeUs quarantine_end = UsPerSecond + hold;
-        QuarantineForget(&quarantine, quarantine_end);
-        CPPUNIT_ASSERT_EQUAL(TimeUs{0}, QuarantineUntil(quarantine, "r", quarantine_end));
-        QuarantineNote(&quarantine, "r", "t3", quarantine_end); // One more crash is enough now.
-        CPPUNIT_ASSERT_EQUAL(quarantine_end + 2 * hold, QuarantineUntil(quarantine, "r", quarantine_end));
-        QuarantineForget(&quarantine, quarantine_end + 4 * hold);
+        QuarantineExpire(&quarantine, quarantine_end);
+        CPPUNIT_ASSERT_EQUAL(TimeUs{0}, QuarantineEndUs(quarantine, "r", quarantine_end));
+        QuarantineAddCrash(&quarantine, "r", "t3", quarantine_end); // One more crash is enough now.
+        CPPUNIT_ASSERT_EQUAL(quarantine_end + 2 * hold, QuarantineEndUs(quarantine, "r", quarantine_end));
+        QuarantineExpire(&quarantine, quarantine_end + 4 * hold);
         CPPUNIT_ASSERT(quarantine.Requests.empty());
         CPPUNIT_ASSERT_EQUAL(uint64_t{0}, quarantine.Digest);
     }
@@ -288,41 +289,43 @@
         Quarantine quarantine;
         for (int n = 0; n < 3; n++)
         {
-            QuarantineNote(&quarantine, "held", fmt::format("t{}", n), UsPerSecond);
+            QuarantineAddCrash(&quarantine, "held", fmt::format("t{}", n), UsPerSecond);
         }
         for (size_t n = 0; n < quarantine.Config.RequestsMax + 100; n++)
         {
-            QuarantineNote(&quarantine, fmt::format("r{}", n), "t9", 2 * UsPerSecond);
+            QuarantineAddCrash(&quarantine, fmt::format("r{}", n), "t9", 2 * UsPerSecond);
         }
         for (size_t n = 0; n < quarantine.Config.CrashesMax + 10; n++)
         {
-            QuarantineNote(&quarantine, "held", fmt::format("more-{}", n), 3 * UsPerSecond);
+            QuarantineAddCrash(&quarantine, "held", fmt::format("more-{}", n), 3 * UsPerSecond);
         }
         CPPUNIT_ASSERT_EQUAL(quarantine.Config.RequestsMax, quarantine.Requests.size());
         CPPUNIT_ASSERT_EQUAL(quarantine.Config.CrashesMax, quarantine.Requests.at("held").Crashes.size());
-        CPPUNIT_ASSERT(QuarantineUntil(quarantine, "held", 3 * UsPerSecond) > 0);
+        CPPUNIT_ASSERT(QuarantineEndUs(quarantine, "held", 3 * UsPerSecond) > 0);
         const std::string long_name(1000, 'x');
-        CPPUNIT_ASSERT(!QuarantineTake(&quarantine, {{long_name, "t", 0, false}, {"r", "", 0, false}, {"r", "t", -1, false}}, UsPerSecond));
+        CPPUNIT_ASSERT(
+            !QuarantineMerge(&quarantine, {{long_name, "t", 0, false}, {"r", "", 0, false}, {"r", "t", -1, false}}, UsPerSecond));
     }
 
     void MalformedBytesAreRefused()
     {
-        CHECK_PROPERTY(
-            "cut or changed bytes give an error",
-            []()
-            {
-                Dice dice;
-                std::string bytes = EncodeTargetEnds({7, {{"key", "t1@5", 9, true}, {"key", "t2", 3, false}}});
-                if (dice.OneIn(2))
-                {
-                    RC_ASSERT(!DecodeTargetEnds(bytes.substr(0, static_cast<size_t>(dice.Between(0, static_cast<int64_t>(bytes.size()))))));
-                    return;
-                }
-                bytes[static_cast<size_t>(dice.Between(0, static_cast<int64_t>(bytes.size())))] = static_cast<char>(dice.Between(0, 256));
-                const Result<TargetEndsMessage> read = DecodeTargetEnds(bytes);
-                RC_ASSERT(!read);
-                RC_ASSERT(read.error().Code == Code_MessageMalformed);
-            });
+        CHECK_PROPERTY("cut or changed bytes give an error",
+                       []()
+                       {
+                           TestRandom dice;
+                           std::string bytes = EncodeCrashReports({7, {{"key", "t1@5", 9, true}, {"key", "t2", 3, false}}});
+                           if (dice.OneIn(2))
+                           {
+                               RC_ASSERT(!DecodeCrashReports(
+                                   bytes.substr(0, static_cast<size_t>(dice.Between(0, static_cast<int64_t>(bytes.size()))))));
+                               return;
+                           }
+                           bytes[static_cast<size_t>(dice.Between(0, static_cast<int64_t>(bytes.size())))] =
+                               static_cast<char>(dice.Between(0, 256));
+                           const Result<CrashReportsMessage> read = DecodeCrashReports(bytes);
+                           RC_ASSERT(!read);
+                           RC_ASSERT(read.error().Code == Code_MessageMalformed);
+                       });
     }
 };
 
--- a/tests/quota_fleet.cpp
+++ b/tests/quota_fleet.cpp
@@ -179,7 +179,7 @@
 static void Decide(QuotaFleet* fleet, int instance)
 {
     Quota& known = fleet->Instances[static_cast<size_t>(instance)].Known;
-    const bool moved = fleet->OfTargets ? QuotaDecideNamed(&known, fleet->Now) : QuotaDecide(&known, fleet->All, fleet->Now);
+    const bool moved = fleet->OfTargets ? QuotaDecideTargets(&known, fleet->Now) : QuotaDecide(&known, fleet->All, fleet->Now);
     if (moved)
     {
         AnswerFollowers(fleet, instance);
@@ -207,7 +207,7 @@
     {
         return;
     }
-    one.NextUs = fleet->Now + QuotaReportIn(one.Known);
+    one.NextUs = fleet->Now + QuotaReportDelay(one.Known);
     FindSource(fleet, instance);
     Decide(fleet, instance);
     PostReports(fleet, instance);
@@ -226,13 +226,13 @@
     }
     if (message.Answer)
     {
-        if (QuotaHeardAnswer(&known, *message.Answer, fleet->Now))
+        if (QuotaOnAnswer(&known, *message.Answer, fleet->Now))
         {
             AnswerFollowers(fleet, message.To);
         }
         return;
     }
-    const bool unknown = QuotaHeardReport(&known, NameOf(message.From), *message.Report, message.ToSeed, fleet->Now);
+    const bool unknown = QuotaOnReport(&known, NameOf(message.From), *message.Report, message.ToSeed, fleet->Now);
     Decide(fleet, message.To);
     if (!message.ToSeed)
     {
@@ -265,10 +265,10 @@
 static bool SendToTarget(QuotaFleet* fleet, QuotaFleetInstance* one, const QuotaFleetCustomer& load)
 {
     const Customer& target = fleet->All.List[load.Index];
-    const bool taken = QuotaTakeNamed(&one->Known, target.Id, fleet->Now, &fleet->Rng);
+    const bool taken = QuotaTakeTarget(&one->Known, target.Id, fleet->Now, &fleet->Rng);
     if (taken)
     {
-        QuotaName(&one->Known, target.Id, load.NamesLimit ? std::optional<double>(target.RatePerS) : std::nullopt, fleet->Now);
+        QuotaSetTargetLimit(&one->Known, target.Id, load.NamesLimit ? std::optional<double>(target.RatePerS) : std::nullopt, fleet->Now);
     }
     return taken;
 }
--- a/tests/quota_link_test.cpp
+++ b/tests/quota_link_test.cpp
@@ -88,11 +88,11 @@
         {
             QuotaReport report;
             report.Limits = {{1, wrong, true, 0}};
-            QuotaHeardReport(&quota, "x", report, false, now);
+            QuotaOnReport(&quota, "x", report, false, now);
         }
         QuotaReport old;
-        old.Limits = {{1, 1, true, quota.Config.NamedKeptUs + 1}, {2, 1, true, -1}};
-        QuotaHeardReport(&quota, "x", old, false, now);
+        old.Limits = {{1, 1, true, quota.Config.LimitExpiryUs + 1}, {2, 1, true, -1}};
+        QuotaOnReport(&quota, "x", old, false, now);
         CPPUNIT_ASSERT(quota.Limits.empty());
     }
 
@@ -112,7 +112,7 @@
         {
             QuotaReport report = Report(1).Report;
             report.Entries[0].Count.Admitted = wrong;
-            CPPUNIT_ASSERT(!QuotaHeardReport(&quota, "x", report, false, UsPerSecond));
+            CPPUNIT_ASSERT(!QuotaOnReport(&quota, "x", report, false, UsPerSecond));
             CPPUNIT_ASSERT(quota.Followers.empty());
         }
     }
@@ -146,7 +146,7 @@
     {
         Rig rig;
         RigTarget(&rig, "t").WorkUs = UsPerMs;
-        RigConfigureFor(&rig, {UsersRoute()}, {{"anne", {"k"}, 2, 2}, {"ben", {"l"}}});
+        RigConfigureWithCustomers(&rig, {UsersRoute()}, {{"anne", {"k"}, 2, 2}, {"ben", {"l"}}});
         const Gateway& instance = RigInstance(&rig, 1);
         RigCall anne;
         anne.Headers = {{"Authorization", "Bearer k"}};
@@ -156,11 +156,11 @@
         int refused = 0;
         for (int n = 0; n < 400; n++)
         {
-            const RigAnswer answer = RigAsk(&rig, instance, anne);
+            const RigAnswer answer = RigSendAndWait(&rig, instance, anne);
             served += answer.Answer.Status == 200 ? 1 : 0;
             refused += answer.Answer.Status == 429 ? 1 : 0;
             CPPUNIT_ASSERT(answer.Answer.Status == 200 || FindHeader(answer.Answer.Headers, "Retry-After") != nullptr);
-            CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, instance, ben).Answer.Status);
+            CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&rig, instance, ben).Answer.Status);
         }
         const double bound = (2 * 5 + 2) * 1.25 + 20;
         CPPUNIT_ASSERT_EQUAL(400, served + refused);
@@ -180,9 +180,9 @@
         customer.RatePerS = 10;
         CPPUNIT_ASSERT(QuotaTake(&quota, customer, UsPerSecond, &random));
         CPPUNIT_ASSERT_EQUAL(1.0, QuotaReports(quota, UsPerSecond)[0].Entries[0].Count.Admitted);
-        QuotaReturn(&quota, 1, UsPerSecond);
+        QuotaRefund(&quota, 1, UsPerSecond);
         CPPUNIT_ASSERT_EQUAL(0.0, QuotaReports(quota, UsPerSecond)[0].Entries[0].Count.Admitted);
-        QuotaReturn(&quota, 1, UsPerSecond); // A second refund has no effect.
+        QuotaRefund(&quota, 1, UsPerSecond); // A second refund has no effect.
         CPPUNIT_ASSERT_EQUAL(0.0, QuotaReports(quota, UsPerSecond)[0].Entries[0].Count.Admitted);
     }
 
@@ -191,7 +191,7 @@
     {
         Rig rig;
         RigTarget(&rig, "t").WorkUs = UsPerMs;
-        RigConfigureFor(&rig, {UsersRoute()}, {{"anne", {"k"}, 2, 2}});
+        RigConfigureWithCustomers(&rig, {UsersRoute()}, {{"anne", {"k"}, 2, 2}});
         const int port = FreePort("127.0.0.10");
         const Settings first = SettingsOf(rig, 0, port, {});
         Settings seed_settings = first;
@@ -203,10 +203,9 @@
         }
         const auto all_counted = [&]()
         {
-            return std::all_of(instances.begin(), instances.end(),
-                               [](const Gateway* one) { return one->Requests.Quotas.MembersMost == 3; });
+            return std::all_of(instances.begin(), instances.end(), [](const Gateway* one) { return one->Requests.Quotas.MembersMax == 3; });
         };
-        CPPUNIT_ASSERT(RigRun(&rig, all_counted));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, all_counted));
         RigCall anne;
         anne.Headers = {{"Authorization", "Bearer k"}};
         const auto limited_everywhere = [&]()
@@ -219,7 +218,7 @@
             RigSend(&rig, *instances[1], anne);
             return std::all_of(instances.begin(), instances.end(), limited);
         };
-        CPPUNIT_ASSERT(RigRun(&rig, limited_everywhere));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, limited_everywhere));
     }
 };
 
--- a/tests/quota_load_test.cpp
+++ b/tests/quota_load_test.cpp
@@ -292,7 +292,7 @@
         CPPUNIT_ASSERT(static_cast<double>(load.MaxInWindow) > QuotaFleetBound(fleet, load));
     }
 
-    static void InjectFault(QuotaFleet* fleet, Dice* dice)
+    static void InjectFault(QuotaFleet* fleet, TestRandom* dice)
     {
         const auto count = static_cast<int64_t>(fleet->Instances.size());
         switch (dice->Between(0, 4))
@@ -326,7 +326,7 @@
     }
 
     // A fleet after a random series of faults.
-    static QuotaFleet FleetAfterFaults(Dice* dice)
+    static QuotaFleet FleetAfterFaults(TestRandom* dice)
     {
         QuotaFleet fleet = UsualFleet(static_cast<int>(dice->Between(12, 130)), dice->Rng());
         for (int64_t n = dice->Between(2, 8); n > 0; n--)
@@ -342,7 +342,7 @@
         CHECK_COSTLY_PROPERTY(10, "no window beyond what a customer may run, whatever is cut off or killed",
                               []()
                               {
-                                  Dice dice;
+                                  TestRandom dice;
                                   const QuotaFleet fleet = FleetAfterFaults(&dice);
                                   for (const QuotaFleetCustomer& load : fleet.Loads)
                                   {
@@ -356,13 +356,13 @@
     // A failure that the property above found: over a quarter of 72 instances partitioned, each alone.
     void ASmallCustomerWhileAQuarterIsIsolated()
     {
-        Dice dice(762296);
+        TestRandom dice(762296);
         CheckBounds(FleetAfterFaults(&dice), "several partitions");
     }
 
     void ASmallCustomerWhileMostAreIsolated()
     {
-        Dice dice(582005223620258400);
+        TestRandom dice(582005223620258400);
         CheckBounds(FleetAfterFaults(&dice), "several partitions, 66 instances");
     }
 };
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -11,7 +11,7 @@
 namespace Winchlink
 {
 
-static StorePage RandomPage(Dice* dice)
+static StorePage RandomPage(TestRandom* dice)
 {
     StorePage page;
     page.Revision = static_cast<uint64_t>(dice->Between(0, 1000000));
@@ -77,22 +77,23 @@
 
     void PagesSurviveEncodingAndDecoding()
     {
-        CHECK_PROPERTY(
-            "a page is read as it was written",
-            []()
-            {
-                Dice dice;
-                const StorePage page = RandomPage(&dice);
-                const Result<StorePage> read = DecodePage(EncodePage(page));
-                RC_ASSERT(bool(read));
-                RC_ASSERT(read.value().Revision == page.Revision && read.value().AgeUs == page.AgeUs && read.value().StoreLost == page.StoreLost);
-                RC_ASSERT(read.value().Items.size() == page.Items.size());
-                for (size_t n = 0; n < page.Items.size(); n++)
-                {
-                    RC_ASSERT(read.value().Items[n].Key == page.Items[n].Key && read.value().Items[n].Value == page.Items[n].Value);
-                    RC_ASSERT(read.value().Items[n].Gone == page.Items[n].Gone);
-                }
-            });
+        CHECK_PROPERTY("a page is read as it was written",
+                       []()
+                       {
+                           TestRandom dice;
+                           const StorePage page = RandomPage(&dice);
+                           const Result<StorePage> read = DecodePage(EncodePage(page));
+                           RC_ASSERT(bool(read));
+                           RC_ASSERT(read.value().Revision == page.Revision && read.value().AgeUs == page.AgeUs &&
+                                     read.value().StoreLost == page.StoreLost);
+                           RC_ASSERT(read.value().Items.size() == page.Items.size());
+                           for (size_t n = 0; n < page.Items.size(); n++)
+                           {
+                               RC_ASSERT(read.value().Items[n].Key == page.Items[n].Key &&
+                                         read.value().Items[n].Value == page.Items[n].Value);
+                               RC_ASSERT(read.value().Items[n].Gone == page.Items[n].Gone);
+                           }
+                       });
     }
 
     void MalformedPagesAreRefused()
@@ -100,7 +101,7 @@
         CHECK_PROPERTY("cut or changed bytes give an error or a page, never more",
                        []()
                        {
-                           Dice dice;
+                           TestRandom dice;
                            std::string bytes = EncodePage(RandomPage(&dice));
                            const bool cut = dice.OneIn(2);
                            const auto at = static_cast<size_t>(dice.Between(0, static_cast<int64_t>(bytes.size())));
@@ -146,19 +147,19 @@
         RigTarget(&rig, "t1");
         RigConfigure(&rig, {UsersRoute()});
         const std::vector<std::string> readers = {FreeAddress()};
-        RigAwait(&rig, RigStartWith(&rig, ReaderSettings(rig, readers, 0)), 1);
+        RigWaitForPlan(&rig, RigStartWith(&rig, ReaderSettings(rig, readers, 0)), 1);
         std::vector<const Gateway*> followers;
         for (int n = 0; n < 5; n++)
         {
             followers.push_back(&RigStartWith(&rig, FollowerSettings(rig, readers)));
-            RigAwait(&rig, *followers.back(), 1);
-            CPPUNIT_ASSERT(RigRun(&rig, [&]() { return FollowsAPeer(*followers.back()); }));
+            RigWaitForPlan(&rig, *followers.back(), 1);
+            CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return FollowsAPeer(*followers.back()); }));
         }
         RigTarget(&rig, "t2");
         RigConfigure(&rig, {UsersRoute()});
         for (const Gateway* follower : followers)
         {
-            RigAwait(&rig, *follower, 2);
+            RigWaitForPlan(&rig, *follower, 2);
             CPPUNIT_ASSERT_EQUAL(uint64_t{0}, StoreCalls(follower->Store)); // Not even at its start.
         }
     }
@@ -172,17 +173,17 @@
         RigConfigure(&rig, {UsersRoute()});
         const std::vector<std::string> readers = {FreeAddress()};
         std::vector<Gateway*> all = {&RigStartWith(&rig, ReaderSettings(rig, readers, 0))};
-        all[0]->Peers.FollowerLimits.Config.FollowersMost = 2;
-        RigAwait(&rig, *all[0], 1);
+        all[0]->Peers.FollowerLimits.Config.FollowersMax = 2;
+        RigWaitForPlan(&rig, *all[0], 1);
         int redirected = 0;
         for (int n = 0; n < 8; n++)
         {
             all.push_back(&RigStartWith(&rig, FollowerSettings(rig, readers)));
-            all.back()->Peers.FollowerLimits.Config.FollowersMost = 2;
-            RigAwait(&rig, *all.back(), 1);
-            RigIdle(&rig, 20 * UsPerMs); // It now waits for changes at its source.
+            all.back()->Peers.FollowerLimits.Config.FollowersMax = 2;
+            RigWaitForPlan(&rig, *all.back(), 1);
+            RigRunFor(&rig, 20 * UsPerMs); // It now waits for changes at its source.
         }
-        RigIdle(&rig, 3 * UsPerSecond);
+        RigRunFor(&rig, 3 * UsPerSecond);
         for (const Gateway* instance : all)
         {
             redirected += instance->Store.Following.Redirected ? 1 : 0;
@@ -194,14 +195,14 @@
         RigConfigure(&rig, {UsersRoute()});
         for (const Gateway* instance : all)
         {
-            RigAwait(&rig, *instance, 2);
+            RigWaitForPlan(&rig, *instance, 2);
         }
         CPPUNIT_ASSERT_EQUAL(1, rig.Store.PageCalls); // At the start of the reader.
         ListenerStop(&all[1]->Peers.Server);          // Its followers must find other sources.
         RigConfigure(&rig, {UsersRoute()});
         for (const Gateway* instance : all)
         {
-            RigAwait(&rig, *instance, 2);
+            RigWaitForPlan(&rig, *instance, 2);
         }
     }
 
@@ -212,14 +213,14 @@
         RigConfigure(&rig, {UsersRoute()});
         const std::vector<std::string> readers = {FreeAddress()};
         Gateway& reader = RigStartWith(&rig, ReaderSettings(rig, readers, 0));
-        RigAwait(&rig, reader, 1);
+        RigWaitForPlan(&rig, reader, 1);
         const Gateway& follower = RigStartWith(&rig, FollowerSettings(rig, readers));
-        RigAwait(&rig, follower, 1);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return FollowsAPeer(follower); }));
+        RigWaitForPlan(&rig, follower, 1);
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return FollowsAPeer(follower); }));
         ListenerStop(&reader.Peers.Server);
         RigConfigure(&rig, {UsersRoute()});
-        RigAwait(&rig, follower, 1);
-        CPPUNIT_ASSERT(!follower.Requests.Directory.InTrouble); // A lost peer doesn't count as a lost store.
+        RigWaitForPlan(&rig, follower, 1);
+        CPPUNIT_ASSERT(!follower.Requests.Directory.StoreUnavailable); // A lost peer doesn't count as a lost store.
     }
 
     void FollowersLeaveAFrozenReader()
@@ -229,9 +230,9 @@
         RigConfigure(&rig, {UsersRoute()});
         const FrozenPeer frozen;
         const Gateway& follower = RigStartWith(&rig, FollowerSettings(rig, {frozen.Address}));
-        RigAwait(&rig, follower, 1);
+        RigWaitForPlan(&rig, follower, 1);
         RigConfigure(&rig, {UsersRoute()});
-        RigAwait(&rig, follower, 1);
+        RigWaitForPlan(&rig, follower, 1);
     }
 
     void FollowersLeaveAReaderThatLostTheStore()
@@ -245,14 +246,14 @@
         Settings settings = ReaderSettings(rig, readers, 0);
         settings.StoreAddress = second.Address;
         const Gateway& reader = RigStartWith(&rig, settings);
-        RigAwait(&rig, reader, 0);
+        RigWaitForPlan(&rig, reader, 0);
         const Gateway& follower = RigStartWith(&rig, FollowerSettings(rig, readers));
-        RigAwait(&rig, follower, 0);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return FollowsAPeer(follower); }));
+        RigWaitForPlan(&rig, follower, 0);
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return FollowsAPeer(follower); }));
         UsersStoreSetMode(&second, StoreMode_Silent);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return reader.Peers.StoreLost; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return reader.Peers.StoreLost; }));
         RigConfigure(&rig, {UsersRoute()});
-        RigAwait(&rig, follower, 0);
+        RigWaitForPlan(&rig, follower, 0);
     }
 
     void ReadersFollowOthersWhenTheStoreRefusesThem()
@@ -267,11 +268,11 @@
         turned_away.StoreAddress = shut.Address;
         const Gateway& first = RigStartWith(&rig, turned_away);
         const Gateway& second = RigStartWith(&rig, ReaderSettings(rig, readers, 1));
-        RigAwait(&rig, first, 0);
-        RigAwait(&rig, second, 0);
+        RigWaitForPlan(&rig, first, 0);
+        RigWaitForPlan(&rig, second, 0);
         UsersStoreSetMode(&shut, StoreMode_Refusing);
         RigConfigure(&rig, {UsersRoute()});
-        RigAwait(&rig, first, 0);
+        RigWaitForPlan(&rig, first, 0);
         CPPUNIT_ASSERT(FollowsAPeer(first));
     }
 
@@ -286,22 +287,22 @@
         RigConfigure(&rig, {UsersRoute()});
         const std::vector<std::string> good = {FreeAddress()};
         Gateway& reader = RigStartWith(&rig, ReaderSettings(rig, good, 0));
-        RigAwait(&rig, reader, 0);
+        RigWaitForPlan(&rig, reader, 0);
         const std::vector<std::string> old_ones = {FreeAddress()};
         Settings behind = ReaderSettings(rig, old_ones, 0);
         behind.StoreAddress = old.Address;
         const Gateway& old_reader = RigStartWith(&rig, behind);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return old_reader.Requests.Plan != nullptr; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return old_reader.Requests.Plan != nullptr; }));
         Gateway& follower = RigStartWith(&rig, FollowerSettings(rig, good));
-        RigAwait(&rig, follower, 0);
+        RigWaitForPlan(&rig, follower, 0);
         // The settings name another seed, and the previous one has stopped.
         FollowSetSources(&follower.Store.Following, follower.Config.PeerAddress, rig.Store.Address, old_ones, &follower.Rng);
         ListenerStop(&reader.Peers.Server);
         const uint64_t failures = follower.Store.CallsFailed;
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return follower.Store.CallsFailed > failures + 2; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return follower.Store.CallsFailed > failures + 2; }));
         CPPUNIT_ASSERT_EQUAL(uint64_t{3}, follower.Requests.Plan->Version);
         RigConfigure(&rig, {UsersRoute()});
-        RigAwait(&rig, follower, 0);
+        RigWaitForPlan(&rig, follower, 0);
     }
 
     void StartsFromPeersWhenTheStoreRefuses()
@@ -311,12 +312,12 @@
         RigConfigure(&rig, {UsersRoute()});
         const std::vector<std::string> readers = {FreeAddress()};
         const Gateway& reader = RigStartWith(&rig, ReaderSettings(rig, readers, 0));
-        RigAwait(&rig, reader, 1);
+        RigWaitForPlan(&rig, reader, 1);
         UsersStoreSetMode(&rig.Store, StoreMode_Refusing);
         Settings settings = FollowerSettings(rig, readers);
         const Gateway& late = RigStartWith(&rig, settings);
-        RigAwait(&rig, late, 1);
-        CPPUNIT_ASSERT_EQUAL(200, RigAsk(&rig, late, RigCall()).Answer.Status);
+        RigWaitForPlan(&rig, late, 1);
+        CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&rig, late, RigCall()).Answer.Status);
     }
 
     void FollowersReadEverythingWhenChangesAreNoLongerKept()
@@ -326,10 +327,10 @@
         const std::vector<std::string> readers = {FreeAddress()};
         Gateway& reader = RigStartWith(&rig, ReaderSettings(rig, readers, 0));
         reader.Peers.Config.ChangesKept = 2;
-        RigAwait(&rig, reader, 0);
+        RigWaitForPlan(&rig, reader, 0);
         Gateway& follower = RigStartWith(&rig, FollowerSettings(rig, readers));
-        RigAwait(&rig, follower, 0);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return FollowsAPeer(follower); }));
+        RigWaitForPlan(&rig, follower, 0);
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return FollowsAPeer(follower); }));
         for (int n = 0; n < 10; n++)
         {
             UsersStoreTarget(&rig.Store, fmt::format("t{}", n), "svc", fmt::format("127.0.0.1:{}", 1000 + n), "dc-a");
@@ -337,13 +338,14 @@
         UsersStoreRemove(&rig.Store, "servers/t0");
         const auto same = [&]()
         {
-            const bool known = follower.Store.Following.Revision == rig.Store.Revision && reader.Store.Following.Revision == rig.Store.Revision;
+            const bool known =
+                follower.Store.Following.Revision == rig.Store.Revision && reader.Store.Following.Revision == rig.Store.Revision;
             return known && follower.PendingBatches.empty();
         };
-        CPPUNIT_ASSERT(RigRun(&rig, same));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, same));
         CPPUNIT_ASSERT(follower.Requests.Directory.Targets.count("t9") == 1);
         const auto& all = follower.Requests.Directory.Targets;
-        CPPUNIT_ASSERT(all.count("t0") == 0 || all.at("t0").Presence == Presence_Vanished);
+        CPPUNIT_ASSERT(all.count("t0") == 0 || all.at("t0").Presence == Presence_Missing);
     }
 
     static bool KnowsPlan(const Rig& rig, const Gateway& gateway)
@@ -362,10 +364,10 @@
         Gateway& reader = RigStartWith(&rig, ReaderSettings(rig, readers, 0));
         reader.Store.FromStore.ReadUs = 150 * UsPerMs;
         const Gateway& follower = RigStartWith(&rig, FollowerSettings(rig, readers));
-        RigIdle(&rig, 100 * UsPerMs);
+        RigRunFor(&rig, 100 * UsPerMs);
         CPPUNIT_ASSERT_EQUAL(size_t{1}, reader.Peers.HeldRequests.size()); // The seed holds the follower's call.
         UsersStoreSetMode(&rig.Store, StoreMode_Good);
-        RigAwait(&rig, follower, 1);
+        RigWaitForPlan(&rig, follower, 1);
     }
 
     // A seed that serves two full reads at a time redirects further instances to those two, which hold their calls.
@@ -376,9 +378,9 @@
         RigConfigure(&rig, {UsersRoute()});
         const std::vector<std::string> readers = {FreeAddress()};
         Gateway& reader = RigStartWith(&rig, ReaderSettings(rig, readers, 0));
-        reader.Peers.FollowerLimits.Config.StartsMost = 2;
-        reader.Peers.FollowerLimits.Config.FullReadWindowUs = RigLimitUs;
-        RigAwait(&rig, reader, 1);
+        reader.Peers.FollowerLimits.Config.FullReadsMax = 2;
+        reader.Peers.FollowerLimits.Config.FullReadWindowUs = RigTimeoutUs;
+        RigWaitForPlan(&rig, reader, 1);
         constexpr size_t follower_count = 6;
         std::vector<const Gateway*> followers;
         followers.reserve(follower_count);
@@ -389,7 +391,7 @@
         int redirected_count = 0;
         for (const Gateway* follower : followers)
         {
-            RigAwait(&rig, *follower, 1);
+            RigWaitForPlan(&rig, *follower, 1);
             CPPUNIT_ASSERT_EQUAL(uint64_t{0}, StoreCalls(follower->Store));
             redirected_count += follower->Store.Following.Redirected ? 1 : 0;
         }
@@ -404,14 +406,14 @@
         RigConfigure(&rig, {UsersRoute()});
         const FrozenPeer frozen;
         Gateway& instance = RigStartWith(&rig, FollowerSettings(rig, {frozen.Address}));
-        instance.Store.FromInstance.ReadUs = 50 * UsPerMs;    // The call to the seed soon times out,
-        instance.Store.Following.Config.StoreFallbackUs = RigLimitUs; // and no fallback leads to the store.
-        instance.Requests.Config.FirstPlanUs = RigLimitUs;    // Callers are not refused, even on a slow machine.
-        RigIdle(&rig, 300 * UsPerMs);
+        instance.Store.FromInstance.ReadUs = 50 * UsPerMs;              // The call to the seed soon times out,
+        instance.Store.Following.Config.StoreFallbackUs = RigTimeoutUs; // and no fallback leads to the store.
+        instance.Requests.Config.FirstPlanUs = RigTimeoutUs;            // Callers are not refused, even on a slow machine.
+        RigRunFor(&rig, 300 * UsPerMs);
         CPPUNIT_ASSERT_EQUAL(uint64_t{0}, StoreCalls(instance.Store));
         std::vector<RigAnswerPtr> answers;
-        answers.reserve(instance.Requests.Config.NeedyCallers);
-        for (size_t n = 0; n < instance.Requests.Config.NeedyCallers; n++)
+        answers.reserve(instance.Requests.Config.PlanWaitersPerStoreCall);
+        for (size_t n = 0; n < instance.Requests.Config.PlanWaitersPerStoreCall; n++)
         {
             answers.push_back(RigSend(&rig, instance, RigCall()));
         }
@@ -419,12 +421,12 @@
         {
             return std::all_of(answers.begin(), answers.end(), [](const RigAnswerPtr& each) { return each->Done; });
         };
-        CPPUNIT_ASSERT(RigRun(&rig, all_answered));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, all_answered));
         for (const RigAnswerPtr& answer : answers)
         {
             CPPUNIT_ASSERT_EQUAL(200, answer->Answer.Status);
         }
-        CPPUNIT_ASSERT(instance.Store.StoreCallsFor[StoreReason_Alone] >= 1);
+        CPPUNIT_ASSERT(instance.Store.StoreCallsFor[StoreReason_Fallback] >= 1);
     }
 
     // Followers are told that the store is lost and don't call it: only the reader, and one follower on its behalf, do.
@@ -434,29 +436,30 @@
         RigTarget(&rig, "t1");
         RigConfigure(&rig, {UsersRoute()});
         const std::vector<std::string> readers = {FreeAddress()};
-        RigAwait(&rig, RigStartWith(&rig, ReaderSettings(rig, readers, 0)), 1);
+        RigWaitForPlan(&rig, RigStartWith(&rig, ReaderSettings(rig, readers, 0)), 1);
         constexpr size_t follower_count = 12;
         std::vector<const Gateway*> followers;
         followers.reserve(follower_count);
         for (size_t n = 0; n < follower_count; n++)
         {
             followers.push_back(&RigStartWith(&rig, FollowerSettings(rig, readers)));
-            RigAwait(&rig, *followers.back(), 1);
+            RigWaitForPlan(&rig, *followers.back(), 1);
         }
         UsersStoreSetMode(&rig.Store, StoreMode_Refusing);
         const auto all_told = [&]()
         {
-            return std::all_of(followers.begin(), followers.end(), [](const Gateway* each) { return each->Requests.Directory.InTrouble; });
+            return std::all_of(followers.begin(), followers.end(),
+                               [](const Gateway* each) { return each->Requests.Directory.StoreUnavailable; });
         };
-        CPPUNIT_ASSERT(RigRun(&rig, all_told));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, all_told));
         const int calls = rig.Store.Calls;
-        RigIdle(&rig, 3 * UsPerSecond);
+        RigRunFor(&rig, 3 * UsPerSecond);
         CPPUNIT_ASSERT(rig.Store.Calls - calls <= 16); // Twelve followers that call once a second would make 36.
         UsersStoreSetMode(&rig.Store, StoreMode_Good);
         RigConfigure(&rig, {UsersRoute()});
         for (const Gateway* follower : followers)
         {
-            RigAwait(&rig, *follower, 1);
+            RigWaitForPlan(&rig, *follower, 1);
         }
     }
 
@@ -471,23 +474,23 @@
         Settings settings = ReaderSettings(rig, readers, 0);
         settings.StoreAddress = shut.Address;
         const Gateway& reader = RigStartWith(&rig, settings);
-        RigAwait(&rig, reader, 0);
+        RigWaitForPlan(&rig, reader, 0);
         const Gateway& one = RigStartWith(&rig, FollowerSettings(rig, readers));
         const Gateway& other = RigStartWith(&rig, FollowerSettings(rig, readers));
-        RigAwait(&rig, one, 0);
-        RigAwait(&rig, other, 0);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return FollowsAPeer(one) && FollowsAPeer(other); }));
+        RigWaitForPlan(&rig, one, 0);
+        RigWaitForPlan(&rig, other, 0);
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return FollowsAPeer(one) && FollowsAPeer(other); }));
         UsersStoreSetMode(&shut, StoreMode_Refusing);
         for (int n = 0; n < 3; n++)
         {
             RigConfigure(&rig, {UsersRoute()});
-            RigAwait(&rig, reader, 0);
-            RigAwait(&rig, one, 0);
-            RigAwait(&rig, other, 0);
+            RigWaitForPlan(&rig, reader, 0);
+            RigWaitForPlan(&rig, one, 0);
+            RigWaitForPlan(&rig, other, 0);
         }
-        const uint64_t asked = one.Store.StoreCallsFor[StoreReason_Asked] + other.Store.StoreCallsFor[StoreReason_Asked];
+        const uint64_t asked = one.Store.StoreCallsFor[StoreReason_Delegated] + other.Store.StoreCallsFor[StoreReason_Delegated];
         CPPUNIT_ASSERT(asked >= 1);
-        CPPUNIT_ASSERT_EQUAL(uint64_t{0}, one.Store.StoreCallsFor[StoreReason_Alone] + other.Store.StoreCallsFor[StoreReason_Alone]);
+        CPPUNIT_ASSERT_EQUAL(uint64_t{0}, one.Store.StoreCallsFor[StoreReason_Fallback] + other.Store.StoreCallsFor[StoreReason_Fallback]);
     }
 
     void ASeedStartsThroughAFollowerThatWaitsForIt()
@@ -502,9 +505,9 @@
         settings.StoreAddress = shut.Address;
         const Gateway& follower = RigStartWith(&rig, FollowerSettings(rig, readers));
         const Gateway& reader = RigStartWith(&rig, settings);
-        RigAwait(&rig, reader, 0);
-        RigAwait(&rig, follower, 0);
-        CPPUNIT_ASSERT(follower.Store.StoreCallsFor[StoreReason_Asked] >= 1);
+        RigWaitForPlan(&rig, reader, 0);
+        RigWaitForPlan(&rig, follower, 0);
+        CPPUNIT_ASSERT(follower.Store.StoreCallsFor[StoreReason_Delegated] >= 1);
     }
 
     // The store no longer has the changes that the reader needs. The reader reads everything again, and its followers get only the
@@ -519,11 +522,11 @@
         }
         const std::vector<std::string> readers = {FreeAddress()};
         Gateway& reader = RigStartWith(&rig, ReaderSettings(rig, readers, 0));
-        RigAwait(&rig, reader, 5);
+        RigWaitForPlan(&rig, reader, 5);
         Gateway& follower = RigStartWith(&rig, FollowerSettings(rig, readers));
-        RigAwait(&rig, follower, 5);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return FollowsAPeer(follower) && reader.Peers.HeldRequests.size() == 1; }));
-        UsersStoreSetMode(&rig.Store, StoreMode_Deaf); // From here on the store reports no changes.
+        RigWaitForPlan(&rig, follower, 5);
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return FollowsAPeer(follower) && reader.Peers.HeldRequests.size() == 1; }));
+        UsersStoreSetMode(&rig.Store, StoreMode_NoChanges); // From here on the store reports no changes.
         UsersStoreRemove(&rig.Store, "servers/t0");
         UsersStoreTarget(&rig.Store, "t9", "svc", "127.0.0.1:1009", "dc-a");
         UsersStoreSetMode(&rig.Store, StoreMode_Good);
@@ -531,11 +534,11 @@
         const auto noticed = [&]()
         {
             const auto& all = follower.Requests.Directory.Targets;
-            const bool gone = all.count("t0") == 0 || all.at("t0").Presence == Presence_Vanished;
+            const bool gone = all.count("t0") == 0 || all.at("t0").Presence == Presence_Missing;
             return gone && all.count("t9") == 1;
         };
-        CPPUNIT_ASSERT(RigRun(&rig, noticed));
-        CPPUNIT_ASSERT(reader.Store.StoreCallsFor[StoreReason_History] >= 1);
+        CPPUNIT_ASSERT(RigRunUntil(&rig, noticed));
+        CPPUNIT_ASSERT(reader.Store.StoreCallsFor[StoreReason_HistoryGone] >= 1);
         CPPUNIT_ASSERT(follower.Peers.ChangesFrom < reader.Store.Following.Revision); // The follower made a full read only at its start.
         CPPUNIT_ASSERT_EQUAL(uint64_t{0}, StoreCalls(follower.Store));
     }
@@ -547,16 +550,16 @@
         RigConfigure(&rig, {UsersRoute()});
         const std::vector<std::string> readers = {FreeAddress()};
         Gateway& reader = RigStartWith(&rig, ReaderSettings(rig, readers, 0));
-        RigAwait(&rig, reader, 0);
+        RigWaitForPlan(&rig, reader, 0);
         const Gateway& follower = RigStartWith(&rig, FollowerSettings(rig, readers));
-        RigAwait(&rig, follower, 0);
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return FollowsAPeer(follower) && reader.Peers.HeldRequests.size() == 1; }));
+        RigWaitForPlan(&rig, follower, 0);
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return FollowsAPeer(follower) && reader.Peers.HeldRequests.size() == 1; }));
         RigConfigure(&rig, {UsersRoute()});
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return KnowsPlan(rig, reader); }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return KnowsPlan(rig, reader); }));
         UsersStoreSetMode(&rig.Store, StoreMode_Refusing);
-        RigAwait(&rig, follower, 0);
+        RigWaitForPlan(&rig, follower, 0);
         const Gateway& late = RigStartWith(&rig, FollowerSettings(rig, readers));
-        RigAwait(&rig, late, 0);
+        RigWaitForPlan(&rig, late, 0);
     }
 
     void InstancesStartWhenAllSeedsAreUnreachable()
@@ -564,10 +567,10 @@
         Rig rig;
         RigConfigure(&rig, {UsersRoute()});
         const Gateway& follower = RigStartWith(&rig, FollowerSettings(rig, {FreeAddress(), FreeAddress(), FreeAddress()}));
-        RigAwait(&rig, follower, 0);
+        RigWaitForPlan(&rig, follower, 0);
         RigConfigure(&rig, {UsersRoute()});
-        RigAwait(&rig, follower, 0);
-        CPPUNIT_ASSERT(!follower.Requests.Directory.InTrouble);
+        RigWaitForPlan(&rig, follower, 0);
+        CPPUNIT_ASSERT(!follower.Requests.Directory.StoreUnavailable);
     }
 };
 
--- a/tests/returns_test.cpp
+++ b/tests/returns_test.cpp
@@ -10,18 +10,18 @@
 static constexpr TimeUs StepUs = 100 * UsPerMs;
 
 // Serves and refuses a fixed number of requests per step from `from` on for `time`. Returns the retry times that were assigned.
-static std::vector<TimeUs> Play(ReturnSchedule* schedule, Random* random, TimeUs from, TimeUs time, int served, int refused)
+static std::vector<TimeUs> Play(RetrySchedule* schedule, Random* random, TimeUs from, TimeUs time, int served, int refused)
 {
     std::vector<TimeUs> retry_times;
     for (TimeUs now = from; now < from + time; now += StepUs)
     {
         for (int n = 0; n < served; n++)
         {
-            ReturnScheduleServed(schedule, now);
+            RetryScheduleServed(schedule, now);
         }
         for (int n = 0; n < refused; n++)
         {
-            retry_times.push_back(now + ReturnScheduleTake(schedule, now, random));
+            retry_times.push_back(now + RetryScheduleTake(schedule, now, random));
         }
     }
     return retry_times;
@@ -55,46 +55,46 @@
 
     void OneRefusedCallerReturnsSoon()
     {
-        ReturnSchedule schedule;
+        RetrySchedule schedule;
         Random random(1);
         Play(&schedule, &random, 0, 5 * UsPerSecond, 1, 0);
-        const TimeUs wait = ReturnScheduleTake(&schedule, 5 * UsPerSecond, &random);
+        const TimeUs wait = RetryScheduleTake(&schedule, 5 * UsPerSecond, &random);
         CPPUNIT_ASSERT(wait >= schedule.MinUs * 8 / 10 && wait <= schedule.MinUs * 12 / 10);
     }
 
     // After a start nothing has been served yet; this is no sign of an overload.
     void AStartIsNotTakenForAnOverload()
     {
-        ReturnSchedule schedule;
+        RetrySchedule schedule;
         Random random(1);
         const TimeUs start = 5000 * UsPerSecond;
-        ReturnScheduleTake(&schedule, start, &random);
-        CPPUNIT_ASSERT(ReturnScheduleTake(&schedule, start + StepUs, &random) < 2 * UsPerSecond);
+        RetryScheduleTake(&schedule, start, &random);
+        CPPUNIT_ASSERT(RetryScheduleTake(&schedule, start + StepUs, &random) < 2 * UsPerSecond);
     }
 
     void ALongOverloadKeepsCallersAwayLonger()
     {
-        ReturnSchedule schedule;
+        RetrySchedule schedule;
         Random random(1);
         Play(&schedule, &random, 0, 3 * UsPerSecond, 1, 1);
         const TimeUs now = 3 * UsPerSecond;
-        CPPUNIT_ASSERT(ReturnScheduleTake(&schedule, now, &random) > 3 * UsPerSecond);
+        CPPUNIT_ASSERT(RetryScheduleTake(&schedule, now, &random) > 3 * UsPerSecond);
     }
 
     void TheScheduleEmptiesWhenTheOverloadIsOver()
     {
-        ReturnSchedule schedule;
+        RetrySchedule schedule;
         Random random(1);
         Play(&schedule, &random, 0, 3 * UsPerSecond, 1, 1);
         Play(&schedule, &random, 3 * UsPerSecond, schedule.MaxUs, 1, 0);
-        const TimeUs wait = ReturnScheduleTake(&schedule, 3 * UsPerSecond + schedule.MaxUs, &random);
+        const TimeUs wait = RetryScheduleTake(&schedule, 3 * UsPerSecond + schedule.MaxUs, &random);
         CPPUNIT_ASSERT(wait <= schedule.MinUs * 12 / 10);
     }
 
     // Callers refused within one step return at the rate that the schedule allows; with a fixed wait they all return at once.
     void CallersDoNotReturnTogether()
     {
-        ReturnSchedule schedule;
+        RetrySchedule schedule;
         schedule.Jitter = 0; // Without jitter, so that the schedule's own spacing is counted.
         Random random(1);
         Play(&schedule, &random, 0, 10 * UsPerSecond, 2, 0); // 20 served a second.
@@ -108,18 +108,18 @@
     {
         const auto within = []()
         {
-            Dice dice;
-            ReturnSchedule schedule;
+            TestRandom dice;
+            RetrySchedule schedule;
             TimeUs now = dice.Between(0, UsPerSecond);
             for (int n = 0; n < 300; n++)
             {
                 now += dice.OneIn(20) ? dice.Between(0, 20 * UsPerSecond) : dice.Between(0, 50 * UsPerMs);
                 if (dice.OneIn(2))
                 {
-                    ReturnScheduleServed(&schedule, now);
+                    RetryScheduleServed(&schedule, now);
                     continue;
                 }
-                const TimeUs wait = ReturnScheduleTake(&schedule, now, &dice.Rng);
+                const TimeUs wait = RetryScheduleTake(&schedule, now, &dice.Rng);
                 RC_ASSERT(static_cast<double>(wait) >= (1 - schedule.Jitter) * static_cast<double>(schedule.MinUs) - 1);
                 RC_ASSERT(static_cast<double>(wait) <= (1 + schedule.Jitter) * static_cast<double>(schedule.MaxUs));
             }
@@ -145,7 +145,7 @@
         double longest = 0;
         for (const RigAnswerPtr& answer : answers)
         {
-            CPPUNIT_ASSERT(RigRun(&rig, [&]() { return answer->Done; }));
+            CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return answer->Done; }));
             CPPUNIT_ASSERT_EQUAL(503, answer->Answer.Status);
             longest = std::max(longest, std::stod(*FindHeader(answer->Answer.Headers, "Retry-After")));
         }
--- a/tests/silent_ends_test.cpp
+++ b/tests/silent_ends_test.cpp
@@ -19,7 +19,7 @@
     {
         for (const auto& target : Parts.Targets)
         {
-            target->EndsSilently = true;
+            target->CrashesSilently = true;
         }
     }
 
@@ -41,13 +41,13 @@
         call.Target = CrashingPath;
         call.DeadlineMs = deadline_ms;
         RigAnswerPtr answer = RigSend(&Parts, *Instances[0], call);
-        CPPUNIT_ASSERT(RigRun(&Parts, [&]() { return Silenced() > before; }));
+        CPPUNIT_ASSERT(RigRunUntil(&Parts, [&]() { return Silenced() > before; }));
         return answer;
     }
 
     void Await(const RigAnswerPtr& answer)
     {
-        CPPUNIT_ASSERT(RigRun(&Parts, [&]() { return answer->Done; }));
+        CPPUNIT_ASSERT(RigRunUntil(&Parts, [&]() { return answer->Done; }));
         CPPUNIT_ASSERT_EQUAL(504, answer->Answer.Status);
     }
 
@@ -70,12 +70,12 @@
 
     int CrashCount() const
     {
-        return KnownQuarantine().Requests.empty() ? 0 : QuarantineEnds(KnownQuarantine(), KnownQuarantine().Requests.begin()->first);
+        return KnownQuarantine().Requests.empty() ? 0 : QuarantineCrashCount(KnownQuarantine(), KnownQuarantine().Requests.begin()->first);
     }
 
     void AwaitCrashes(int crashes)
     {
-        CPPUNIT_ASSERT(RigRun(&Parts, [&]() { return CrashCount() == crashes; }));
+        CPPUNIT_ASSERT(RigRunUntil(&Parts, [&]() { return CrashCount() == crashes; }));
     }
 };
 
@@ -104,7 +104,7 @@
             fleet.RemoveSilentEntries();
             fleet.AwaitCrashes(n);
         }
-        RigIdle(&fleet.Parts, SpreadUs);
+        RigRunFor(&fleet.Parts, SpreadUs);
         CPPUNIT_ASSERT_EQUAL(503, fleet.SendCrashingCall(*fleet.Instances[0]).Answer.Status);
         CPPUNIT_ASSERT_EQUAL(503, fleet.SendCrashingCall(*fleet.Instances[1]).Answer.Status);
         CPPUNIT_ASSERT_EQUAL(3, fleet.Silenced());
@@ -117,7 +117,7 @@
         const RigAnswerPtr answer = fleet.SilenceOne(800);
         fleet.RemoveSilentEntries();
         const TargetPool& pool = fleet.Instances[0]->Requests.Services.at("svc").Pool;
-        CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return !fleet.Instances[0]->Requests.Unanswered.Targets.empty(); }));
+        CPPUNIT_ASSERT(RigRunUntil(&fleet.Parts, [&]() { return !fleet.Instances[0]->Requests.Unanswered.Targets.empty(); }));
         CPPUNIT_ASSERT(!answer->Done && pool.Targets.size() == 2);
         CPPUNIT_ASSERT_EQUAL(0, fleet.CrashCount());
         fleet.Await(answer);
@@ -129,9 +129,9 @@
         SilentFleet fleet(1);
         RawCaller caller(&fleet.Parts.Loop, fleet.Instances[0]->Config.CallerAddress);
         RawSend(caller, fmt::format("GET {} HTTP/1.1\r\nHost: a.example\r\nWinchlink-Request-Id: r\r\n\r\n", CrashingPath));
-        CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return fleet.Silenced() == 1; }));
+        CPPUNIT_ASSERT(RigRunUntil(&fleet.Parts, [&]() { return fleet.Silenced() == 1; }));
         RawClose(&caller);
-        CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return !fleet.Instances[0]->Requests.Unanswered.Attempts.empty(); }));
+        CPPUNIT_ASSERT(RigRunUntil(&fleet.Parts, [&]() { return !fleet.Instances[0]->Requests.Unanswered.Attempts.empty(); }));
         fleet.RemoveSilentEntries();
         fleet.AwaitCrashes(1);
     }
@@ -150,12 +150,12 @@
     {
         SilentFleet fleet(1);
         fleet.Await(fleet.SilenceOne(ShortMs));
-        RigIdle(&fleet.Parts, SpreadUs);
+        RigRunFor(&fleet.Parts, SpreadUs);
         CPPUNIT_ASSERT_EQUAL(0, fleet.CrashCount());
-        const SilentEnds& silent = fleet.Instances[0]->Requests.Unanswered;
-        SilentEnds later = silent;
+        const SilentCrashes& silent = fleet.Instances[0]->Requests.Unanswered;
+        SilentCrashes later = silent;
         CPPUNIT_ASSERT_EQUAL(size_t{1}, later.Attempts.size());
-        SilentForget(&later, NowUs() + silent.DetectionMaxUs);
+        SilentCrashesExpire(&later, NowUs() + silent.DetectionMaxUs);
         CPPUNIT_ASSERT(later.Attempts.empty());
     }
 
@@ -166,11 +166,11 @@
         fleet.Await(fleet.SilenceOne(ShortMs));
         for (const auto& target : fleet.Parts.Targets)
         {
-            target->EndsOn.clear();
+            target->CrashPrefix.clear();
         }
         CPPUNIT_ASSERT_EQUAL(200, fleet.SendCrashingCall(*fleet.Instances[0]).Answer.Status);
         fleet.RemoveSilentEntries();
-        CPPUNIT_ASSERT(RigRun(&fleet.Parts, [&]() { return !fleet.Instances[0]->Requests.Unanswered.Targets.empty(); }));
+        CPPUNIT_ASSERT(RigRunUntil(&fleet.Parts, [&]() { return !fleet.Instances[0]->Requests.Unanswered.Targets.empty(); }));
         CPPUNIT_ASSERT_EQUAL(0, fleet.CrashCount());
     }
 
@@ -182,43 +182,43 @@
         target.Service = "svc";
         target.Revision = 1;
         DirectoryPut(&directory, target, 0);
-        DirectoryTrouble(&directory, UsPerSecond);
-        DirectoryAnswered(&directory, 2 * UsPerSecond);
+        DirectoryStoreFailed(&directory, UsPerSecond);
+        DirectoryStoreAnswered(&directory, 2 * UsPerSecond);
         DirectoryRemove(&directory, "t", 2, 2 * UsPerSecond);
-        CPPUNIT_ASSERT(DirectoryTakeEnded(&directory).empty());
+        CPPUNIT_ASSERT(DirectoryTakeCrashed(&directory).empty());
         target.Revision = 3; // The entry is back. It counts when removed without trouble, but not if the target was draining.
         DirectoryPut(&directory, target, 3 * UsPerSecond);
         DirectoryRemove(&directory, "t", 4, 60 * UsPerSecond);
-        CPPUNIT_ASSERT_EQUAL(size_t{1}, DirectoryTakeEnded(&directory).size());
+        CPPUNIT_ASSERT_EQUAL(size_t{1}, DirectoryTakeCrashed(&directory).size());
         target.Revision = 5;
-        target.Presence = Presence_Leaving;
+        target.Presence = Presence_Draining;
         DirectoryPut(&directory, target, 61 * UsPerSecond);
         DirectoryRemove(&directory, "t", 6, 62 * UsPerSecond);
-        CPPUNIT_ASSERT(DirectoryTakeEnded(&directory).empty());
+        CPPUNIT_ASSERT(DirectoryTakeCrashed(&directory).empty());
     }
 
     // Targets that report no load are not probed before the request, and may have been silent already.
     void TargetsThatAreNotProbedDoNotCount()
     {
         SilentFleet fleet(1);
-        fleet.Parts.Targets[0]->TellsLoad = false;
-        CPPUNIT_ASSERT_EQUAL(200, RigAsk(&fleet.Parts, *fleet.Instances[0], RigCall()).Answer.Status);
+        fleet.Parts.Targets[0]->SendsLoad = false;
+        CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&fleet.Parts, *fleet.Instances[0], RigCall()).Answer.Status);
         fleet.Await(fleet.SilenceOne(ShortMs));
         CPPUNIT_ASSERT(fleet.Instances[0]->Requests.Unanswered.Attempts.empty());
     }
 
     void WhatIsRememberedIsBounded()
     {
-        SilentEnds silent;
+        SilentCrashes silent;
         for (size_t n = 0; n < silent.EntriesMax + 10; n++)
         {
-            CPPUNIT_ASSERT(!SilentAttemptEnded(&silent, {fmt::format("r{}", n), "t", UsPerSecond}, 2 * UsPerSecond));
-            SilentTargetEnded(&silent, fmt::format("u{}", n), 2 * UsPerSecond);
+            CPPUNIT_ASSERT(!SilentCrashesAddAttempt(&silent, {fmt::format("r{}", n), "t", UsPerSecond}, 2 * UsPerSecond));
+            SilentCrashesAddTarget(&silent, fmt::format("u{}", n), 2 * UsPerSecond);
         }
         CPPUNIT_ASSERT_EQUAL(silent.EntriesMax, silent.Attempts.size());
         CPPUNIT_ASSERT_EQUAL(silent.EntriesMax, silent.Targets.size());
-        CPPUNIT_ASSERT_EQUAL(silent.EntriesMax, SilentTargetEnded(&silent, "t", UsPerSecond + silent.DetectionMaxUs - 1).size());
-        SilentForget(&silent, 2 * UsPerSecond + silent.RetentionUs);
+        CPPUNIT_ASSERT_EQUAL(silent.EntriesMax, SilentCrashesAddTarget(&silent, "t", UsPerSecond + silent.DetectionMaxUs - 1).size());
+        SilentCrashesExpire(&silent, 2 * UsPerSecond + silent.RetentionUs);
         CPPUNIT_ASSERT_EQUAL(size_t{1}, silent.Targets.size()); // The latest one.
     }
 };
--- a/tests/soak_audit_test.cpp
+++ b/tests/soak_audit_test.cpp
@@ -34,7 +34,7 @@
     log.Versions = {{"svc", Start - 50 * UsPerSecond}};
     log.Requests = {MakeRequest("q1", 200, false)};
     log.Arrivals = {MakeArrival("q1", Start + UsPerMs, true)};
-    log.RecoveryAsked = 100;
+    log.RecoverySent = 100;
     log.RecoveryGood = 99;
     return log;
 }
@@ -224,14 +224,14 @@
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty());
         log.Rests[0].NextStartUs = Start + 3 * UsPerSecond;
         CheckFinds(log, "sent to a target that wants nothing");
-        log.Rests[0].RestUs = UsPerSecond;
+        log.Rests[0].RefusalPauseUs = UsPerSecond;
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty());
     }
 
     void RequestsToATargetThatAnnouncedItsStop()
     {
         SoakLog log = CleanLog();
-        log.SaidLeaving = {{"t1", Start}};
+        log.AnnouncedDrains = {{"t1", Start}};
         AddRefused(&log, Start + 2 * UsPerSecond);
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty());
         AddRefused(&log, Start + 3 * UsPerSecond);
@@ -269,10 +269,10 @@
     void EndsAndRecovery()
     {
         SoakLog log = CleanLog();
-        log.OwnEnds = 1;
+        log.UnexpectedExits = 1;
         CheckFinds(log, "ended by itself");
         log = CleanLog();
-        log.LateEnds = 1;
+        log.KilledAfterGrace = 1;
         CheckFinds(log, "still there after its grace time");
         log = CleanLog();
         log.RecoveryGood = 90;
--- a/tests/store_reader_test.cpp
+++ b/tests/store_reader_test.cpp
@@ -112,7 +112,7 @@
         CPPUNIT_ASSERT_EQUAL(TimeUs{2500000}, ready.value().ColdUntilUs);
         CPPUNIT_ASSERT_EQUAL(Presence_Ready, ready.value().Presence);
         item.Value.replace(item.Value.find("\"ready\""), 7, "\"draining\"");
-        CPPUNIT_ASSERT_EQUAL(Presence_Leaving, PlatformReadTarget(item, 0).value().Presence);
+        CPPUNIT_ASSERT_EQUAL(Presence_Draining, PlatformReadTarget(item, 0).value().Presence);
         item.Value.replace(item.Value.find("10.128.0.9:8080"), 15, "nowhere");
         CPPUNIT_ASSERT(!PlatformReadTarget(item, 0));
         CPPUNIT_ASSERT_EQUAL(PlatformItem_Target, PlatformItemKind("servers/i-1"));
@@ -145,7 +145,7 @@
             CPPUNIT_ASSERT_MESSAGE(unreadable, read.has_value() && read.value().Items.size() == 1);
             CPPUNIT_ASSERT_EQUAL_MESSAGE(unreadable, uint64_t{7}, read.value().Items[0].Revision);
             CPPUNIT_ASSERT_MESSAGE(unreadable, read.value().Items[0].Value.empty() && !read.value().Items[0].Gone);
-            const StoreNews news = PlatformAdapter().Read({read.value().Items, read.value().Revision, true, 0});
+            const StoreUpdates news = PlatformAdapter().Read({read.value().Items, read.value().Revision, true, 0});
             CPPUNIT_ASSERT_MESSAGE(unreadable, news.Invalid.size() == 1 && news.Targets.size() == 1 && news.Targets[0].Gone);
         }
         CPPUNIT_ASSERT_EQUAL(std::string("/kv-watch?pathPrefix=&after=7&waitMs=5000"), dialect.ChangesTarget(7, 5 * UsPerSecond));
@@ -170,14 +170,14 @@
         Rig rig;
         RigConfigure(&rig, {UsersRoute()});
         Gateway& instance = RigInstance(&rig, 0);
-        instance.Store.FromStore.GatherUs = 3 * UsPerSecond; // Longer than all changes take, also on a busy machine.
+        instance.Store.FromStore.BatchUs = 3 * UsPerSecond; // Longer than all changes take, also on a busy machine.
         const int calls = rig.Store.Calls;
         for (int n = 0; n < 20; n++)
         {
             UsersStoreTarget(&rig.Store, fmt::format("t{}", n), "svc", fmt::format("127.0.0.1:{}", 1000 + n), "dc-a");
-            RigIdle(&rig, UsPerMs);
+            RigRunFor(&rig, UsPerMs);
         }
-        CPPUNIT_ASSERT(RigRun(&rig, [&]() { return instance.Requests.Directory.Targets.size() == 20; }));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return instance.Requests.Directory.Targets.size() == 20; }));
         CPPUNIT_ASSERT(rig.Store.Calls - calls <= 4); // For 20 changes, as they are batched.
     }
 };
