--- a/daemon/commands.h
+++ b/daemon/commands.h
@@ -10,7 +10,7 @@
 enum Exit_ : int
 {
     Exit_Good = 0,
-    Exit_Faults = 1,     // check: faults were found; status: not serving; lift: not held.
+    Exit_Faults = 1,     // check: faults were found; status: not serving; lift: not quarantined.
     Exit_Usage = 2,      // Invalid command line, unreadable file or unreachable instance.
     Exit_Start = 3,      // serve, gateway: start failed.
     Exit_ForcedStop = 4, // serve, gateway: stopped by force while requests were in progress.
--- a/gateway/choose.cpp
+++ b/gateway/choose.cpp
@@ -70,8 +70,8 @@
 // Whether this instance may open one more connection to the target.
 static bool MayConnect(const Call& call, const PoolTarget& target)
 {
-    const int most = call.Spec->ConnectionsMax;
-    return most == 0 || target.InFlight < most;
+    const int max = call.Spec->ConnectionsMax;
+    return max == 0 || target.InFlight < max;
 }
 
 static bool Contains(const std::vector<std::string>& ids, const std::string& id)
@@ -109,9 +109,9 @@
 static bool HasCapacity(Call* call, const PoolTarget& target, TimeUs now)
 {
     const TargetPool& pool = call->Service->Pool;
-    const bool room =
+    const bool usable =
         PoolMayUse(target, now) && PoolHasFreeSlot(pool, target) && PoolMaySendCold(pool, target, now) && MayConnect(*call, target);
-    return room && TakeLimit(call, target, now);
+    return usable && TakeLimit(call, target, now);
 }
 
 // Whether a target is good enough to be chosen without probing others.
@@ -251,12 +251,12 @@
 
 static void OnProbeAnswer(Forwarder* forwarder, ServiceState* service, const std::string& id, uint64_t entry, const ClientAnswer& answer)
 {
-    const std::vector<CallPtr> askers = std::move(service->Probes[id]);
+    const std::vector<CallPtr> waiters = std::move(service->Probes[id]);
     service->Probes.erase(id);
     LearnFromProbe(forwarder, service, id, entry, answer);
-    for (const CallPtr& asker : askers)
+    for (const CallPtr& waiter : waiters)
     {
-        OnProbed(asker, id, answer.End == ClientEnd_Answered);
+        OnProbed(waiter, id, answer.End == ClientEnd_Answered);
     }
 }
 
@@ -426,8 +426,8 @@
     }
     service->Waiting = std::move(still_waiting);
     PoolTarget* target = PoolFind(&service->Pool, target_id);
-    const bool told = target != nullptr && target->ReportUs > 0;
-    if (first && told && IsGood(first.get(), *target, NowUs()))
+    const bool has_report = target != nullptr && target->ReportUs > 0;
+    if (first && has_report && IsGood(first.get(), *target, NowUs()))
     {
         first->ProbeRetryTimer = nullptr;
         SendTo(first, target);
--- a/gateway/command_status.cpp
+++ b/gateway/command_status.cpp
@@ -1,7 +1,7 @@
 // command_status.cpp: winchlink status: prints the state of an instance for operators.
 //
 // Reads the instance's /status page and prints the state of the instance, its plan, its connection to the store, evacuations, refused
-// entries, held requests, and each service with its targets.
+// entries, quarantined requests, and each service with its targets.
 
 #include "commands.h"
 #include "options.h"
@@ -79,14 +79,14 @@
     }
 }
 
-static void PrintHeld(json_t* root)
+static void PrintQuarantined(json_t* root)
 {
     size_t n = 0;
-    json_t* held = nullptr;
-    json_array_foreach(json_object_get(root, "held"), n, held)
+    json_t* quarantined = nullptr;
+    json_array_foreach(json_object_get(root, "held"), n, quarantined)
     {
-        fmt::print("held       request {} for {} more: {} targets ended under it\n", Text(held, "request"), Seconds(held, "leftMs"),
-                   Number(held, "ends"));
+        fmt::print("held       request {} for {} more: {} targets ended under it\n", Text(quarantined, "request"),
+                   Seconds(quarantined, "leftMs"), Number(quarantined, "ends"));
     }
 }
 
@@ -128,7 +128,7 @@
     PrintInstance(root.get());
     PrintEvacuations(root.get());
     PrintInvalid(root.get());
-    PrintHeld(root.get());
+    PrintQuarantined(root.get());
     size_t n = 0;
     json_t* service = nullptr;
     json_array_foreach(json_object_get(root.get(), "services"), n, service)
--- a/gateway/crash_reports.cpp
+++ b/gateway/crash_reports.cpp
@@ -21,9 +21,9 @@
 // [SECTION] Messages
 //-----------------------------------------------------------------------------
 
-template <class Archive> void serialize(Archive& archive, TargetCrashUpdate& news)
+template <class Archive> void serialize(Archive& archive, TargetCrashUpdate& update)
 {
-    archive(news.Request, news.Target, news.AgeUs, news.Cleared);
+    archive(update.Request, update.Target, update.AgeUs, update.Cleared);
 }
 
 template <class Archive> void serialize(Archive& archive, CrashReportsMessage& message)
@@ -51,20 +51,20 @@
     return message;
 }
 
-static std::string EncodeAll(const CrashReports& ends)
+static std::string EncodeAll(const CrashReports& reports)
 {
-    return EncodeCrashReports({ends.Known->Digest, QuarantineExport(*ends.Known, NowUs())});
+    return EncodeCrashReports({reports.Known->Digest, QuarantineExport(*reports.Known, NowUs())});
 }
 
 //-----------------------------------------------------------------------------
 // [SECTION] Sending updates
 //-----------------------------------------------------------------------------
 
-static void NotifyFollowers(CrashReports* ends)
+static void NotifyFollowers(CrashReports* reports)
 {
-    ends->NotifyTimer = nullptr;
-    ends->NotifiedUs = NowUs();
-    ends->OnNotify();
+    reports->NotifyTimer = nullptr;
+    reports->NotifiedUs = NowUs();
+    reports->OnNotify();
 }
 
 // Purpose of a call.
@@ -74,9 +74,9 @@
     EndsCall_Compare, // Sends only the digest, to compare.
 };
 
-static void OnCalled(CrashReports* ends, EndsCall_ kind, const ClientAnswer& answer);
+static void OnCalled(CrashReports* reports, EndsCall_ kind, const ClientAnswer& answer);
 
-static void SendCall(CrashReports* ends, EndsCall_ kind, const std::string& address, const std::string& message)
+static void SendCall(CrashReports* reports, EndsCall_ kind, const std::string& address, const std::string& message)
 {
     ClientRequest request;
     request.Address = address;
@@ -84,44 +84,44 @@
     request.Target = TargetCrashesPath;
     request.HasBody = true;
     request.Body = message;
-    request.TimeoutUs = ends->TimeoutUs;
-    request.ConnectUs = ends->ConnectUs;
-    ends->InProgress++;
-    ends->CallsMade++;
-    ClientSend(ends->Calls, std::move(request), [ends, kind](const ClientAnswer& answer) { OnCalled(ends, kind, answer); });
+    request.TimeoutUs = reports->TimeoutUs;
+    request.ConnectUs = reports->ConnectUs;
+    reports->InProgress++;
+    reports->CallsMade++;
+    ClientSend(reports->Calls, std::move(request), [reports, kind](const ClientAnswer& answer) { OnCalled(reports, kind, answer); });
 }
 
-static void PushToPeers(CrashReports* ends)
+static void PushToPeers(CrashReports* reports)
 {
-    ends->PushTimer = nullptr;
-    ends->PushedUs = NowUs();
-    const std::string message = EncodeAll(*ends);
-    for (const std::string& address : ends->Peers())
+    reports->PushTimer = nullptr;
+    reports->PushedUs = NowUs();
+    const std::string message = EncodeAll(*reports);
+    for (const std::string& address : reports->Peers())
     {
-        SendCall(ends, EndsCall_Push, address, message);
+        SendCall(reports, EndsCall_Push, address, message);
     }
 }
 
-static void PushSoon(CrashReports* ends)
+static void PushSoon(CrashReports* reports)
 {
-    if (ends->InProgress > 0)
+    if (reports->InProgress > 0)
     {
-        ends->PushWanted = true;
+        reports->PushWanted = true;
         return;
     }
-    if (!ends->PushTimer)
+    if (!reports->PushTimer)
     {
-        const TimeUs wait = std::max<TimeUs>(ends->PushedUs + ends->BatchUs - NowUs(), 0);
-        ends->PushTimer = TimerStart(ends->Loop, wait, [ends]() { PushToPeers(ends); });
+        const TimeUs wait = std::max<TimeUs>(reports->PushedUs + reports->BatchUs - NowUs(), 0);
+        reports->PushTimer = TimerStart(reports->Loop, wait, [reports]() { PushToPeers(reports); });
     }
 }
 
-static void NotifySoon(CrashReports* ends)
+static void NotifySoon(CrashReports* reports)
 {
-    if (!ends->NotifyTimer)
+    if (!reports->NotifyTimer)
     {
-        const TimeUs wait = std::max<TimeUs>(ends->NotifiedUs + ends->BatchUs - NowUs(), 0);
-        ends->NotifyTimer = TimerStart(ends->Loop, wait, [ends]() { NotifyFollowers(ends); });
+        const TimeUs wait = std::max<TimeUs>(reports->NotifiedUs + reports->BatchUs - NowUs(), 0);
+        reports->NotifyTimer = TimerStart(reports->Loop, wait, [reports]() { NotifyFollowers(reports); });
     }
 }
 
@@ -130,12 +130,12 @@
 //-----------------------------------------------------------------------------
 
 // Adds another instance's entries and notifies the followers of new ones. Returns true if there were any.
-static bool Merge(CrashReports* ends, const CrashReportsMessage& message)
+static bool Merge(CrashReports* reports, const CrashReportsMessage& message)
 {
-    const bool changed = QuarantineMerge(ends->Known, message.Updates, NowUs());
+    const bool changed = QuarantineMerge(reports->Known, message.Updates, NowUs());
     if (changed)
     {
-        NotifySoon(ends);
+        NotifySoon(reports);
     }
     return changed;
 }
@@ -151,21 +151,21 @@
 }
 
 // Handles the answer to a call. If digests still differ after a comparison, the other instance lacks entries: a push follows.
-static void MergeAnswer(CrashReports* ends, EndsCall_ kind, const std::string& bytes)
+static void MergeAnswer(CrashReports* reports, EndsCall_ kind, const std::string& bytes)
 {
     const Result<CrashReportsMessage> message = DecodeOrLog(bytes);
     if (!message)
     {
         return;
     }
-    Merge(ends, message.value());
-    const bool differs = message.value().Digest != ends->Known->Digest;
-    ends->PushWanted = ends->PushWanted || (differs && kind == EndsCall_Compare);
+    Merge(reports, message.value());
+    const bool differs = message.value().Digest != reports->Known->Digest;
+    reports->PushWanted = reports->PushWanted || (differs && kind == EndsCall_Compare);
 }
 
-static void OnCalled(CrashReports* ends, EndsCall_ kind, const ClientAnswer& answer)
+static void OnCalled(CrashReports* reports, EndsCall_ kind, const ClientAnswer& answer)
 {
-    ends->InProgress--;
+    reports->InProgress--;
     const bool good = answer.End == ClientEnd_Answered && answer.Status == 200;
     if (!good)
     {
@@ -173,51 +173,51 @@
     }
     else if (!answer.Body.empty())
     {
-        MergeAnswer(ends, kind, answer.Body);
+        MergeAnswer(reports, kind, answer.Body);
     }
-    if (ends->InProgress == 0 && std::exchange(ends->PushWanted, false))
+    if (reports->InProgress == 0 && std::exchange(reports->PushWanted, false))
     {
-        PushSoon(ends);
+        PushSoon(reports);
     }
 }
 
-void CrashReportsChanged(CrashReports* ends)
+void CrashReportsChanged(CrashReports* reports)
 {
-    NotifySoon(ends);
-    PushSoon(ends);
+    NotifySoon(reports);
+    PushSoon(reports);
 }
 
-void CrashReportsSourceAnswered(CrashReports* ends, uint64_t digest)
+void CrashReportsSourceAnswered(CrashReports* reports, uint64_t digest)
 {
-    if (digest != ends->Known->Digest)
+    if (digest != reports->Known->Digest)
     {
-        PushSoon(ends);
+        PushSoon(reports);
     }
 }
 
-void CrashReportsCompare(CrashReports* ends)
+void CrashReportsCompare(CrashReports* reports)
 {
-    if (ends->Known->Digest == 0 || ends->InProgress > 0 || ends->PushTimer)
+    if (reports->Known->Digest == 0 || reports->InProgress > 0 || reports->PushTimer)
     {
         return;
     }
-    const std::string digest_only = EncodeCrashReports({ends->Known->Digest, {}});
-    for (const std::string& address : ends->Peers())
+    const std::string digest_only = EncodeCrashReports({reports->Known->Digest, {}});
+    for (const std::string& address : reports->Peers())
     {
-        SendCall(ends, EndsCall_Compare, address, digest_only);
+        SendCall(reports, EndsCall_Compare, address, digest_only);
     }
 }
 
-std::string CrashReportsReceived(CrashReports* ends, const std::string& bytes)
+std::string CrashReportsReceived(CrashReports* reports, const std::string& bytes)
 {
     const Result<CrashReportsMessage> message = DecodeOrLog(bytes);
     if (!message)
     {
         return "";
     }
-    if (Merge(ends, message.value()))
+    if (Merge(reports, message.value()))
     {
-        PushSoon(ends);
+        PushSoon(reports);
     }
     return message.value().Digest == ends->Known->Digest ? "" : EncodeAll(*ends);
 }
--- a/gateway/crash_reports.h
+++ b/gateway/crash_reports.h
@@ -44,18 +44,18 @@
 };
 
 // This instance itself has changed the quarantine.
-void CrashReportsChanged(CrashReports* ends);
+void CrashReportsChanged(CrashReports* reports);
 
 // The source has answered a poll; `digest` is of the entries that it knows.
-void CrashReportsSourceAnswered(CrashReports* ends, uint64_t digest);
+void CrashReportsSourceAnswered(CrashReports* reports, uint64_t digest);
 
 // Compares digests with the others, if anything is known. For instances that read the store, which have no source whose answers carry a
 // digest.
-void CrashReportsCompare(CrashReports* ends);
+void CrashReportsCompare(CrashReports* reports);
 
 // Handles an incoming call. Returns the answer: all entries that this instance knows, or an empty string if the digests are equal after the
 // update.
-std::string CrashReportsReceived(CrashReports* ends, const std::string& bytes);
+std::string CrashReportsReceived(CrashReports* reports, const std::string& bytes);
 
 // Encodes and decodes a message. Decoding returns Code_MessageMalformed for invalid bytes.
 std::string EncodeCrashReports(const CrashReportsMessage& message);
--- a/gateway/forward.cpp
+++ b/gateway/forward.cpp
@@ -135,8 +135,8 @@
 // Time until a target takes a request again, where targets have asked for backoff or are at their rate limits; else 0.
 static TimeUs TargetWaitUs(const Call& call, Code_ code, TimeUs now)
 {
-    const std::optional<TimeUs> ends = PoolBackoffEnds(call.Service->Pool, now);
-    return ends ? *ends - now : code == Code_TargetsLimited ? LimitWaitUs(call) : 0;
+    const std::optional<TimeUs> backoff_end = PoolBackoffEnds(call.Service->Pool, now);
+    return backoff_end ? *backoff_end - now : code == Code_TargetsLimited ? LimitWaitUs(call) : 0;
 }
 
 void EndCallBusy(const CallPtr& call, Code_ code, const std::string& detail)
@@ -270,18 +270,18 @@
     return ms > 0 ? static_cast<TimeUs>(std::min(ms * static_cast<double>(UsPerMs), longest)) : call.MatchedRoute->TimeoutUs;
 }
 
-static void SetDeadline(const CallPtr& call, TimeUs asked)
+static void SetDeadline(const CallPtr& call, TimeUs timeout)
 {
-    call->CallerDeadlineUs = call->Inbound->ArrivedUs + asked;
-    call->DeadlineUs = call->Inbound->ArrivedUs + std::min(asked, call->MatchedRoute->TimeoutUs);
+    call->CallerDeadlineUs = call->Inbound->ArrivedUs + timeout;
+    call->DeadlineUs = call->Inbound->ArrivedUs + std::min(timeout, call->MatchedRoute->TimeoutUs);
     call->DeadlineTimer = TimerStart(call->Owner->Loop, LeftUs(*call, NowUs()), [call]() { OnDeadline(call); });
 }
 
 static void AdmitCall(const CallPtr& call)
 {
     Forwarder* forwarder = call->Owner;
-    const std::optional<TimeUs> asked = RequestedTimeout(*call);
-    if (!asked)
+    const std::optional<TimeUs> timeout = RequestedTimeout(*call);
+    if (!timeout)
     {
         EndCallWith(call, Code_BadDeadline, "");
         return;
@@ -292,7 +292,7 @@
     call->Service = &forwarder->Services[call->ServiceName];
     call->Service->InProgress++;
     call->Work = &forwarder->Work[call->MatchedRoute->Name];
-    SetDeadline(call, *asked);
+    SetDeadline(call, *timeout);
     RetryBudgetCount(&call->Service->Retries, NowUs());
     if (call->Spec == nullptr)
     {
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -59,7 +59,7 @@
     std::vector<SignalWatch> Signals;
     Timer TickTimer;                            // Next periodic work, such as the check of the settings file.
     std::vector<StoreBatch> PendingBatches;     // Batches sent to followers and not applied here yet, in order.
-    Timer ApplyTimer;                           // Applies the batches in Unread.
+    Timer ApplyTimer;                           // Applies PendingBatches.
     Timer ForgetTimer;                          // Removes the next missing target whose retention is over.
     Timer StopTimer;                            // Next step of a planned stop.
     TimeUs StartedUs = 0;                       // Time of GatewayStart().
--- a/gateway/pages.cpp
+++ b/gateway/pages.cpp
@@ -95,11 +95,11 @@
 
 static int64_t CountHeld(const Quarantine& quarantine)
 {
-    const auto held = [now = NowUs()](const auto& entry)
+    const auto quarantined = [now = NowUs()](const auto& entry)
     {
         return now < entry.second.QuarantinedUntilUs;
     };
-    return std::count_if(quarantine.Requests.begin(), quarantine.Requests.end(), held);
+    return std::count_if(quarantine.Requests.begin(), quarantine.Requests.end(), quarantined);
 }
 
 std::string MetricsText(const Gateway& gateway)
@@ -310,7 +310,7 @@
     return list;
 }
 
-static json_t* JsonOfHeld(const Quarantine& quarantine, TimeUs now)
+static json_t* JsonOfQuarantined(const Quarantine& quarantine, TimeUs now)
 {
     json_t* list = json_array();
     for (const auto& [key, request] : quarantine.Requests)
@@ -348,7 +348,7 @@
     json_object_set_new(object, "customers", JsonOfCustomers(gateway));
     json_object_set_new(object, "evacuated", JsonOfEvacuations(gateway.Requests.Directory));
     json_object_set_new(object, "invalid", JsonOfInvalid(gateway));
-    json_object_set_new(object, "held", JsonOfHeld(gateway.Requests.Quarantined, now));
+    json_object_set_new(object, "held", JsonOfQuarantined(gateway.Requests.Quarantined, now));
     json_object_set_new(object, "services", services);
     return DumpJson(object, JSON_INDENT(1));
 }
--- a/gateway/quarantined_calls.cpp
+++ b/gateway/quarantined_calls.cpp
@@ -28,8 +28,8 @@
 
 static TimeUs QuarantinedUntil(Call* call)
 {
-    const Quarantine& held = call->Owner->Quarantined;
-    return held.Requests.empty() ? 0 : QuarantineEndUs(held, CallKey(call), NowUs());
+    const Quarantine& quarantine = call->Owner->Quarantined;
+    return quarantine.Requests.empty() ? 0 : QuarantineEndUs(quarantine, CallKey(call), NowUs());
 }
 
 bool IsQuarantined(Call* call)
@@ -103,9 +103,9 @@
     request.Target = call->Spec->HealthPath;
     request.NewConnection = true;
     request.TimeoutUs = forwarder->Config.ConnectUs;
-    request.MaySend = [asks = !call->Spec->HealthPath.empty() && PoolMayUse(*target, NowUs())]()
+    request.MaySend = [may_probe = !call->Spec->HealthPath.empty() && PoolMayUse(*target, NowUs())]()
     {
-        return asks;
+        return may_probe;
     };
     const auto on_checked = [forwarder, key = CallKey(call), attempt](const ClientAnswer& answer)
     {
--- a/gateway/quota_link.cpp
+++ b/gateway/quota_link.cpp
@@ -52,17 +52,17 @@
     SerializeCount(archive, share.Share);
 }
 
-template <class Archive> void serialize(Archive& archive, QuotaFleetSize& most)
+template <class Archive> void serialize(Archive& archive, QuotaFleetSize& fleet_size)
 {
-    SerializeCount(archive, most.Members);
-    archive(most.AgeUs);
+    SerializeCount(archive, fleet_size.Members);
+    archive(fleet_size.AgeUs);
 }
 
-template <class Archive> void serialize(Archive& archive, TargetLimitUpdate& news)
+template <class Archive> void serialize(Archive& archive, TargetLimitUpdate& update)
 {
-    archive(news.Id);
-    SerializeCount(archive, news.PerS);
-    archive(news.InForce, news.AgeUs);
+    archive(update.Id);
+    SerializeCount(archive, update.PerS);
+    archive(update.InForce, update.AgeUs);
 }
 
 template <class Archive> void serialize(Archive& archive, QuotaReport& report)
--- a/gateway/relay.cpp
+++ b/gateway/relay.cpp
@@ -254,10 +254,10 @@
     Answer(relay, wait);
 }
 
-static void HoldRequest(Relay* relay, HeldRequest wait, TimeUs most)
+static void HoldRequest(Relay* relay, HeldRequest wait, TimeUs max_wait)
 {
     const uint64_t id = ++relay->LastWait;
-    wait.End = TimerStart(relay->Loop, std::min(most, HoldMaxUs), [relay, id]() { AnswerHeld(relay, id); });
+    wait.End = TimerStart(relay->Loop, std::min(max_wait, HoldMaxUs), [relay, id]() { AnswerHeld(relay, id); });
     wait.From->OnGone = [relay, id]()
     {
         relay->HeldRequests.erase(id);
@@ -278,22 +278,22 @@
 }
 
 // State of this instance for FanoutDecide().
-static UpdateServer RelayState(const Relay& relay, const UpdateRequest& asker)
+static UpdateServer RelayState(const Relay& relay, const UpdateRequest& requester)
 {
-    UpdateServer holder;
-    holder.Revision = relay.Revision;
-    holder.StoreLost = relay.StoreLost;
-    holder.DataCentre = relay.DataCentre;
+    UpdateServer state;
+    state.Revision = relay.Revision;
+    state.StoreLost = relay.StoreLost;
+    state.DataCentre = relay.DataCentre;
     for (const auto& entry : relay.HeldRequests)
     {
         const UpdateRequest& follower = entry.second.Request;
-        holder.Followers.push_back(follower.Address);
-        if (follower.DataCentre == asker.DataCentre)
+        state.Followers.push_back(follower.Address);
+        if (follower.DataCentre == requester.DataCentre)
         {
-            holder.Nearby.push_back(follower.Address);
+            state.Nearby.push_back(follower.Address);
         }
     }
-    return holder;
+    return state;
 }
 
 static void Redirect(const Relay& relay, const ExchangePtr& call, std::vector<std::string> elsewhere)
@@ -360,12 +360,12 @@
 }
 
 // Answers the held requests that match. Their ids are collected first, as answering may add or remove held requests.
-static void AnswerHeldIf(Relay* relay, const std::function<bool(const HeldRequest&)>& ends)
+static void AnswerHeldIf(Relay* relay, const std::function<bool(const HeldRequest&)>& matches)
 {
     std::vector<uint64_t> ending;
     for (const auto& entry : relay->HeldRequests)
     {
-        if (ends(entry.second))
+        if (matches(entry.second))
         {
             ending.push_back(entry.first);
         }
@@ -525,7 +525,7 @@
 
 Relay::~Relay()
 {
-    ListenerStop(&Server); // Before Waits is destroyed: it holds calls of the listener.
+    ListenerStop(&Server); // Before HeldRequests is destroyed: it holds calls of the listener.
 }
 
 } // namespace Winchlink
--- a/gateway/relay.h
+++ b/gateway/relay.h
@@ -51,7 +51,7 @@
     uint64_t ChangesFrom = 0;                               // Changes is complete above this revision.
     uint64_t Revision = 0;                                  // Store revision of Items; 0: no data.
     std::function<TimeUs()> Age;                            // Time since Items was known to be current; empty: 0.
-    std::function<void()> OnAskStore;                       // A follower wants this instance to ask the store; may be empty.
+    std::function<void()> OnAskStore;                       // A follower requests that this instance ask the store; may be empty.
     std::function<void(const std::string&)> OnInstanceSeen; // Gets the address of each requester that can be followed; may be empty.
     std::function<std::string()> Origin;                    // Returns the instance that reads the store for this one; may be empty.
     std::function<uint64_t()> QuarantineDigest;             // Returns the digest of the quarantine; may be empty.
--- a/gateway/store_news.cpp
+++ b/gateway/store_news.cpp
@@ -23,8 +23,8 @@
 static void ApplyPlan(Gateway* gateway, const RoutePlan& plan)
 {
     Forwarder& requests = gateway->Requests;
-    const uint64_t held = requests.Plan ? requests.Plan->Version : 0;
-    if (plan.Version <= held)
+    const uint64_t current = requests.Plan ? requests.Plan->Version : 0;
+    if (plan.Version <= current)
     {
         return; // Already in force, or older.
     }
@@ -34,7 +34,7 @@
     QuotaLinkUpdate(&gateway->Quotas);
     Log(LogLevel_Info, Code_None, "plan in force",
         {{"version", plan.Version},
-         {"before", held},
+         {"before", current},
          {"routes", static_cast<int>(plan.Routes.size())},
          {"customers", static_cast<int>(plan.Callers.List.size())}});
 }
@@ -46,24 +46,24 @@
 // Summary, for the log, of the changes to one service's targets in one answer of the source.
 struct TargetChanges
 {
-    int Ready = 0;   // New or changed entries of ready targets.
-    int Leaving = 0; // Entries of draining targets.
-    int Gone = 0;    // Removed entries.
-    std::string Ids; // All draining and removed targets, and the first ReadyNamedMax ready ones.
+    int Ready = 0;    // New or changed entries of ready targets.
+    int Draining = 0; // Entries of draining targets.
+    int Gone = 0;     // Removed entries.
+    std::string Ids;  // All draining and removed targets, and the first ReadyNamedMax ready ones.
 };
 
 static constexpr int ReadyNamedMax = 5;
 
-static void CountChange(const TargetUpdate& news, const std::string& service, std::map<std::string, TargetChanges>* changes)
+static void CountChange(const TargetUpdate& update, const std::string& service, std::map<std::string, TargetChanges>* changes)
 {
     TargetChanges& of_service = (*changes)[service];
-    const bool leaving = !news.Gone && news.Target.Presence == Presence_Draining;
-    of_service.Gone += news.Gone ? 1 : 0;
-    of_service.Leaving += leaving ? 1 : 0;
-    of_service.Ready += news.Gone || leaving ? 0 : 1;
-    if (news.Gone || leaving || of_service.Ready <= ReadyNamedMax)
+    const bool draining = !update.Gone && update.Target.Presence == Presence_Draining;
+    of_service.Gone += update.Gone ? 1 : 0;
+    of_service.Draining += draining ? 1 : 0;
+    of_service.Ready += update.Gone || draining ? 0 : 1;
+    if (update.Gone || draining || of_service.Ready <= ReadyNamedMax)
     {
-        of_service.Ids += (of_service.Ids.empty() ? "" : " ") + news.Target.Id + (news.Gone ? ":gone" : leaving ? ":leaving" : "");
+        of_service.Ids += (of_service.Ids.empty() ? "" : " ") + update.Target.Id + (update.Gone ? ":gone" : draining ? ":leaving" : "");
     }
 }
 
@@ -75,7 +75,7 @@
         Log(LogLevel_Info, Code_None, "targets changed",
             {{"service", service},
              {"ready", of_service.Ready},
-             {"leaving", of_service.Leaving},
+             {"leaving", of_service.Draining},
              {"gone", of_service.Gone},
              {"targets", of_service.Ids},
              {"revision", at}});
@@ -97,22 +97,22 @@
     }
 }
 
-static void ApplyTarget(Gateway* gateway, const TargetUpdate& news, std::map<std::string, TargetChanges>* changes)
+static void ApplyTarget(Gateway* gateway, const TargetUpdate& update, std::map<std::string, TargetChanges>* changes)
 {
-    const DirectoryTarget& target = news.Target;
+    const DirectoryTarget& target = update.Target;
     TargetDirectory& directory = gateway->Requests.Directory;
     const auto known = directory.Targets.find(target.Id);
-    const bool repeated = !news.Gone && known != directory.Targets.end() && known->second.Revision >= target.Revision;
-    if (repeated)
+    const bool outdated = !update.Gone && known != directory.Targets.end() && known->second.Revision >= target.Revision;
+    if (outdated)
     {
         return;
     }
     const bool was_known = known != directory.Targets.end();
-    if (!news.Gone || was_known)
+    if (!update.Gone || was_known)
     {
-        CountChange(news, news.Gone ? known->second.Service : target.Service, changes);
+        CountChange(update, update.Gone ? known->second.Service : target.Service, changes);
     }
-    if (news.Gone)
+    if (update.Gone)
     {
         DirectoryRemove(&directory, target.Id, target.Revision, NowUs());
         return;
@@ -120,11 +120,11 @@
     DirectoryPut(&directory, target, NowUs());
 }
 
-// Removes the targets that `news`, a full read, does not contain.
-static void RemoveUnlistedTargets(Gateway* gateway, const StoreUpdates& news, uint64_t at)
+// Removes the targets that `updates`, a full read, does not contain.
+static void RemoveUnlistedTargets(Gateway* gateway, const StoreUpdates& updates, uint64_t at)
 {
     std::set<std::string> named;
-    for (const TargetUpdate& target : news.Targets)
+    for (const TargetUpdate& target : updates.Targets)
     {
         named.insert(target.Target.Id);
     }
@@ -163,11 +163,11 @@
         {{"dataCentre", data_centre}, {"revision", revision}, {"targets", known}});
 }
 
-static void ApplyEvacuations(Gateway* gateway, const StoreUpdates& news, uint64_t at, bool everything)
+static void ApplyEvacuations(Gateway* gateway, const StoreUpdates& updates, uint64_t at, bool everything)
 {
     TargetDirectory& directory = gateway->Requests.Directory;
     std::set<std::string> named;
-    for (const EvacuationUpdate& evacuation : news.Evacuations)
+    for (const EvacuationUpdate& evacuation : updates.Evacuations)
     {
         named.insert(evacuation.DataCentre);
         if (DirectoryEvacuate(&directory, evacuation.DataCentre, evacuation.NewState))
@@ -190,10 +190,10 @@
 //-----------------------------------------------------------------------------
 
 // Logs each invalid item once, and again when its error changes.
-static void UpdateInvalid(Gateway* gateway, const StoreUpdates& news, const std::vector<StoreItem>& list, uint64_t at, bool everything)
+static void UpdateInvalid(Gateway* gateway, const StoreUpdates& updates, const std::vector<StoreItem>& list, uint64_t at, bool everything)
 {
     const std::map<std::string, std::string> before = gateway->Invalid;
-    if (everything || news.InvalidIsComplete)
+    if (everything || updates.InvalidIsComplete)
     {
         gateway->Invalid.clear();
     }
@@ -201,7 +201,7 @@
     {
         gateway->Invalid.erase(item.Key);
     }
-    for (const InvalidItem& invalid : news.Invalid)
+    for (const InvalidItem& invalid : updates.Invalid)
     {
         gateway->Invalid[invalid.Key] = invalid.Why.Detail;
         const auto known = before.find(invalid.Key);
@@ -219,14 +219,14 @@
 
 static void ApplyItems(Gateway* gateway, const std::vector<StoreItem>& list, uint64_t at, bool everything)
 {
-    const StoreUpdates news = gateway->Platform.Read({list, at, everything, NowUs()});
-    UpdateInvalid(gateway, news, list, at, everything);
-    if (news.Plan)
+    const StoreUpdates updates = gateway->Platform.Read({list, at, everything, NowUs()});
+    UpdateInvalid(gateway, updates, list, at, everything);
+    if (updates.Plan)
     {
-        ApplyPlan(gateway, *news.Plan);
+        ApplyPlan(gateway, *updates.Plan);
     }
     std::map<std::string, TargetChanges> changes;
-    for (const TargetUpdate& target : news.Targets)
+    for (const TargetUpdate& target : updates.Targets)
     {
         ApplyTarget(gateway, target, &changes);
     }
@@ -234,10 +234,10 @@
     {
         LogChanges(changes, at);
     }
-    ApplyEvacuations(gateway, news, at, everything);
+    ApplyEvacuations(gateway, updates, at, everything);
     if (everything)
     {
-        RemoveUnlistedTargets(gateway, news, at);
+        RemoveUnlistedTargets(gateway, updates, at);
         LogAllTargets(*gateway, at);
     }
     ForwarderFollow(&gateway->Requests);
--- a/gateway/store_reader.cpp
+++ b/gateway/store_reader.cpp
@@ -113,12 +113,12 @@
     return answer.End == ClientEnd_Answered && answer.Status == 200;
 }
 
-static void LogSourceLeft(StoreReader* reader, const FollowStep& step, FollowResult_ verdict, const StorePage& page)
+static void LogSourceLeft(StoreReader* reader, const FollowStep& step, FollowResult_ result, const StorePage& page)
 {
     reader->CallsFailed++;
     Log(LogLevel_Info, Code_PlatformUnreachable, "source left",
         {{"address", step.Address},
-         {"detail", verdict == FollowResult_Loop ? "its data comes from this instance" : "stale or behind"},
+         {"detail", result == FollowResult_Loop ? "its data comes from this instance" : "stale or behind"},
          {"revision", page.Revision},
          {"ageUs", page.AgeUs},
          {"ours", reader->Following.Revision}});
@@ -139,8 +139,8 @@
     {
         reader->OnQuarantineDigest(page.QuarantineDigest);
     }
-    const SourceStatus news = {page.Revision, page.AgeUs, page.StoreLost, page.TriedUs, page.Origin};
-    const FollowResult_ verdict = FollowAnswered(&reader->Following, news, NowUs(), reader->Rng);
+    const SourceStatus status = {page.Revision, page.AgeUs, page.StoreLost, page.TriedUs, page.Origin};
+    const FollowResult_ result = FollowAnswered(&reader->Following, status, NowUs(), reader->Rng);
     const bool changed = !everything && page.Revision > before && !page.Items.empty();
     if (everything && page.Revision >= before)
     {
@@ -151,17 +151,17 @@
     {
         reader->OnChanges(page.Items, page.Revision);
     }
-    if (verdict == FollowResult_Good)
+    if (result == FollowResult_Good)
     {
         reader->OnAnswered(changed || everything);
     }
-    else if (verdict == FollowResult_StoreLost)
+    else if (result == FollowResult_StoreLost)
     {
         reader->OnTrouble("reported by " + step.Address, page.TriedUs);
     }
     else
     {
-        LogSourceLeft(reader, step, verdict, page);
+        LogSourceLeft(reader, step, result, page);
     }
     const bool batch = changed && step.Kind == SourceKind_Store;
     StartNextStep(reader, batch ? reader->FromStore.BatchUs : 0);
--- a/gateway/table_adapter.cpp
+++ b/gateway/table_adapter.cpp
@@ -35,13 +35,13 @@
     {
         return false;
     }
-    std::vector<Fault> unread;
-    r.Faults = &unread;
+    std::vector<Fault> row_faults;
+    r.Faults = &row_faults;
     ReadRevision(&r, "revision", true, &out->Revision);
-    out->Gone = unread.empty() && json_is_true(json_object_get(value, "gone"));
-    out->Revision = unread.empty() ? out->Revision : at;
+    out->Gone = row_faults.empty() && json_is_true(json_object_get(value, "gone"));
+    out->Revision = row_faults.empty() ? out->Revision : at;
     json_t* row = json_object_get(value, "row");
-    const bool readable = unread.empty() && json_is_object(row);
+    const bool readable = row_faults.empty() && json_is_object(row);
     out->Value = !out->Gone && readable ? DumpJson(json_incref(row), JSON_COMPACT) : "";
     return true;
 }
@@ -216,11 +216,11 @@
 // Reports a target that was removed from the table, or whose weight became 0, as draining and then as removed.
 static void AddRemovedTarget(const DirectoryTarget& before, uint64_t revision, StoreUpdates* updates)
 {
-    DirectoryTarget leaving = before;
-    leaving.Presence = Presence_Draining;
-    leaving.Revision = revision;
-    updates->Targets.push_back({leaving, false});
-    updates->Targets.push_back({leaving, true});
+    DirectoryTarget draining = before;
+    draining.Presence = Presence_Draining;
+    draining.Revision = revision;
+    updates->Targets.push_back({draining, false});
+    updates->Targets.push_back({draining, true});
 }
 
 // Reports all targets after a full snapshot, otherwise only removed ones and those of changed rows.
--- a/gateway/target_signals.cpp
+++ b/gateway/target_signals.cpp
@@ -45,7 +45,8 @@
     return date >= 0 ? std::optional<time_t>(date) : std::nullopt;
 }
 
-// Parses seconds or an HTTP date. A date is taken relative to the answer's Date header, as the target's clock may differ from ours.
+// Parses seconds or an HTTP date. A date is taken relative to the answer's Date header, as the target's clock may differ from the local
+// one.
 static std::optional<double> ParseRetryAfter(const std::string& text, const std::vector<Header>& headers, time_t now_s)
 {
     const std::optional<double> seconds = ParseNumber(text);
@@ -95,8 +96,8 @@
     {
         signals.ColdUs = ToTimeUs(*cold, ColdMaxMs, UsPerMs);
     }
-    const std::string* leaving = FindHeader(headers, names.Draining);
-    signals.Draining = leaving != nullptr && *leaving == "1";
+    const std::string* draining = FindHeader(headers, names.Draining);
+    signals.Draining = draining != nullptr && *draining == "1";
     const std::string* retry = IsRefusal(status) ? FindHeader(headers, names.RetryAfter) : nullptr;
     const std::optional<double> backoff = retry != nullptr ? ParseRetryAfter(*retry, headers, now_s) : std::nullopt;
     if (backoff)
--- a/winchlink.h
+++ b/winchlink.h
@@ -198,7 +198,7 @@
     int RequestsPerInstance = 0;           // Maximum requests of the row in progress at one instance; 0: no limit.
     int DeadlineMs = 1000;                 // Deadline of requests that set none.
     int LatencyObjectiveMs = 0;            // Latency objective; 0: half of DeadlineMs.
-    int AttemptsMax = 3;                   // Maximum attempts of one request.
+    int AttemptsMax = 3;                   // Including the first.
     std::string HealthPath;                // Path of the probe, a GET request; empty: targets are not probed.
     std::vector<std::string> RetryMethods; // Methods of requests that may be retried.
     std::vector<TargetRow> Targets;        // At least one.
@@ -299,11 +299,11 @@
     std::string PathPrefix;                // Matches this path and the paths below it.
     std::vector<RoutePart> Parts;          // At least one.
     bool Retryable = false;                // Requests of any method may be retried.
-    std::vector<std::string> RetryMethods; // If not Repeatable: methods of requests that may be retried.
+    std::vector<std::string> RetryMethods; // If not Retryable: methods of requests that may be retried.
     TimeUs TimeoutUs = 0;                  // Time within which the caller gets an answer, if only an error.
-    TimeUs LatencyObjectiveUs = 0;         // Latency objective.
+    TimeUs LatencyObjectiveUs = 0;         // Time within which an answer is good.
     int Priority = 0;                      // 0 is the highest priority.
-    int AttemptsMax = 1;                   // Maximum attempts of one request.
+    int AttemptsMax = 1;                   // Including the first.
     bool Public = false;                   // Its requests need no customer key.
 };
 
@@ -370,7 +370,7 @@
 enum Presence_ : int
 {
     Presence_Ready,
-    Presence_Draining, // Draining: it gets no new requests.
+    Presence_Draining, // Gets no new requests.
     Presence_Missing,  // Its entry disappeared unannounced: it stopped, crashed, or the store lost the entry. Used only as a last resort.
     Presence_COUNT,
 };
@@ -378,7 +378,7 @@
 struct DirectoryTarget
 {
     std::string Id;           // Unique in the directory.
-    uint64_t Incarnation = 0; // Incarnation: differs between two starts under the same id. 0 if each start has an id of its own.
+    uint64_t Incarnation = 0; // Differs between two starts under the same id. 0 if each start has an id of its own.
     std::string Service;      // Name of the service it belongs to.
     std::string Address;      // "IP:port"; may be reused by another target later.
     std::string DataCentre;   // Where it runs.
@@ -395,7 +395,7 @@
 {
     TimeUs MissingKeptUs = 1300 * UsPerMs; // How long a missing entry is kept. Shorter than the time targets keep serving after removal.
     TimeUs RecoveryUs = 2200 * UsPerMs;    // Time that targets need to restore lost entries once the store has recovered.
-    TimeUs RecoveryGraceUs = UsPerSecond;  // Entries missing within ReturnUs plus this after the recovery may have been lost by the store.
+    TimeUs RecoveryGraceUs = UsPerSecond; // Entries missing within RecoveryUs plus this after the recovery may have been lost by the store.
 };
 
 // Latest evacuation state of one data centre, as set by the operators.
@@ -460,7 +460,7 @@
 
 // The target itself announced that it is draining, possibly before its entry shows it. Returns true if this incarnation is known and
 // was not marked as draining before.
-bool DirectoryMarkDraining(TargetDirectory* directory, const std::string& id, uint64_t life);
+bool DirectoryMarkDraining(TargetDirectory* directory, const std::string& id, uint64_t incarnation);
 
 // Removes missing entries whose ExpiryUs has passed. Returns true if any was removed.
 bool DirectoryRemoveExpired(TargetDirectory* directory, TimeUs now);
@@ -502,8 +502,8 @@
 struct PoolTarget
 {
     std::string Id;
-    uint64_t Incarnation = 0;   // Incarnation, from the directory.
-    uint64_t IncarnationId = 0; // Hash of Id and Life, see TargetIncarnationId().
+    uint64_t Incarnation = 0;   // From the directory.
+    uint64_t IncarnationId = 0; // Hash, see TargetIncarnationId().
     std::string Address;
     bool Near = false;             // In the instance's data centre.
     bool EntryMissing = false;     // Its directory entry is missing.
@@ -513,7 +513,7 @@
     int ColdSent = 0;              // Requests that this instance sent to it since the start of the warm-up.
     bool New = false;              // Added while the pool was in use, and this instance has not sent it a request yet.
     int64_t Order = 0;             // Among equals, the lowest is probed first, so that an instance reuses connections to the same targets.
-    uint64_t Generation = 0;       // Generation of the pool entry; differs after the target was removed and added again.
+    uint64_t Generation = 0;       // Differs after the target was removed and added again.
     int InFlight = 0;              // Requests of this instance in progress there, sent through this entry.
     int SentSinceReport = 0;       // Requests that this instance sent to it since Report.
     LoadReport Report;             // The last one.
@@ -526,7 +526,7 @@
     // Managed by the pool.
     int Group = 0;         // Index into PoolIndex::Groups.
     bool Marked = false;   // In PoolIndex::Marked.
-    uint64_t LastSync = 0; // Value of TargetPool::Follows at the last PoolSync() that listed it.
+    uint64_t LastSync = 0; // TargetPool::SyncCount at the last PoolSync() that listed it.
 };
 
 inline constexpr int PoolGroupCount = 4; // In the own or another data centre, with and without a request making the target nearly full.
@@ -535,8 +535,8 @@
 //
 // Most targets are at rest: without a recent report, requests of this instance or any other special state. Among these, the first of each
 // group ranks best. All others are marked and compared one by one: targets that were probed recently, have requests of this instance, or
-// are new, cold, doubtful or failed. A function that returns a pointer to a target marks it, as the caller may change it; PoolNext()
-// unmarks targets that are at rest again.
+// are new, cold, missing from the directory or failed. A function that returns a pointer to a target marks it, as the caller may change it;
+// PoolNext() unmarks targets that are at rest again.
 struct PoolIndex
 {
     std::unordered_map<std::string, std::list<PoolTarget>::iterator> ById;
@@ -577,7 +577,7 @@
     double OwnWork = 0;            // Moving average of this instance's requests in progress, sampled at the same times.
     std::unordered_map<uint64_t, TimeUs> Backoffs; // End of the back-off by IncarnationId, also of targets that are not in the pool.
     int Evacuated = 0;                             // Targets left out because their data centre is evacuated.
-    uint64_t LastGeneration = 0;                   // Last value of PoolTarget::Entry.
+    uint64_t LastGeneration = 0;                   // Last PoolTarget::Generation.
 
     TargetPool() = default;
     TargetPool(TargetPool&&) = default;
@@ -926,7 +926,7 @@
     static constexpr int Steps = 20;              // Parts of the window.
     std::array<QuotaStep, Steps + 4> Counts = {}; // Ring, by step number.
     double Credit = 0;                            // Sum of shares; a request is admitted when it reaches 1.
-    double Allowance = 0;                         // Allowance: requests that may be admitted without a decision.
+    double Allowance = 0;                         // Requests that may be admitted without a decision.
     TimeUs AllowanceUs = 0;                       // When the allowance was last filled; 0: never.
     TimeUs AllowanceChargedUs = 0;                // Time of the decision since which admitted requests were deducted from the allowance.
 };
@@ -1085,7 +1085,7 @@
 //  - An instance never follows one that gets its data from it, directly or indirectly.
 //
 // How to use it: call FollowSetSources() and FollowStart(), then carry out Next, report the outcome by FollowAnswered(), FollowFailed() or
-// FollowRedirected(), and repeat with the new Next.
+// FollowRedirected(), and continue with the new Next.
 
 enum SourceKind_ : int
 {
@@ -1198,15 +1198,15 @@
 };
 
 // Sets the addresses from the settings. Data stays; a source in use is kept until it fails.
-void FollowSetSources(Follow* follow, const std::string& own, const std::string& store, const std::vector<std::string>& contacts,
+void FollowSetSources(Follow* follow, const std::string& own, const std::string& store, const std::vector<std::string>& seeds,
                       Random* random);
 
 // Sets the first step.
 void FollowStart(Follow* follow, TimeUs now);
 
-// The source of Next has answered. Updates `At` and `FreshUs` unless its revision is older. The caller applies newer data whatever the
-// verdict.
-FollowResult_ FollowAnswered(Follow* follow, const SourceStatus& news, TimeUs now, Random* random);
+// The source of Next has answered. Updates `Revision` and `FreshUs` unless its revision is older. The caller applies newer data whatever
+// the result.
+FollowResult_ FollowAnswered(Follow* follow, const SourceStatus& status, TimeUs now, Random* random);
 
 // The source of Next has failed; `late`: by a timeout.
 void FollowFailed(Follow* follow, bool late, TimeUs now, Random* random);
@@ -1214,7 +1214,7 @@
 // The source of Next has redirected this instance to one of these addresses.
 void FollowRedirected(Follow* follow, const std::vector<std::string>& addresses, Random* random);
 
-// Another instance wants this one to ask the store at once. Returns false if the store is the current source already.
+// Another instance requests that this one ask the store at once. Returns false if the store is the current source already.
 bool FollowAskStore(Follow* follow);
 
 // Callers wait for the first data. Returns true if the store is to be asked at once because a seed has failed to answer.
@@ -1288,6 +1288,6 @@
 };
 
 // Decides how a request for updates is handled. An instance without data holds full reads until it has data.
-UpdateDecision FanoutDecide(Fanout* fanout, const UpdateRequest& asker, const UpdateServer& holder, TimeUs now, Random* random);
+UpdateDecision FanoutDecide(Fanout* fanout, const UpdateRequest& requester, const UpdateServer& server, TimeUs now, Random* random);
 
 } // namespace Winchlink
--- a/winchlink_directory.cpp
+++ b/winchlink_directory.cpp
@@ -194,11 +194,11 @@
     }
 }
 
-bool DirectoryMarkDraining(TargetDirectory* directory, const std::string& id, uint64_t life)
+bool DirectoryMarkDraining(TargetDirectory* directory, const std::string& id, uint64_t incarnation)
 {
     const auto found = directory->Targets.find(id);
     const bool is_new =
-        found != directory->Targets.end() && found->second.Incarnation == life && found->second.Presence != Presence_Draining;
+        found != directory->Targets.end() && found->second.Incarnation == incarnation && found->second.Presence != Presence_Draining;
     if (is_new)
     {
         found->second.Presence = Presence_Draining;
--- a/winchlink_follow.cpp
+++ b/winchlink_follow.cpp
@@ -28,9 +28,9 @@
     return names[reason];
 }
 
-static TimeUs RandomUpTo(TimeUs most, Random* random)
+static TimeUs RandomUpTo(TimeUs max, Random* random)
 {
-    return std::uniform_int_distribution<TimeUs>(0, most)(*random);
+    return std::uniform_int_distribution<TimeUs>(0, max)(*random);
 }
 
 static const std::string& RandomAddress(const std::vector<std::string>& addresses, Random* random)
@@ -238,10 +238,10 @@
     return follow.Place;
 }
 
-static void OnGoodAnswer(Follow* follow, const SourceStatus& news, TimeUs now, Random* random)
+static void OnGoodAnswer(Follow* follow, const SourceStatus& status, TimeUs now, Random* random)
 {
     const bool from_store = follow->Next.Kind == SourceKind_Store;
-    follow->Origin = from_store ? follow->Own : news.Origin;
+    follow->Origin = from_store ? follow->Own : status.Origin;
     follow->RoundsInRow = 0;
     follow->UnansweredRounds = 0;
     follow->Tried = 0;
@@ -307,48 +307,48 @@
 
 // Whether an instance that is no seed is a better source than the current one. An instance that is not fresher may be a follower of this
 // one. Of the instances that fell back to the store, the one with the lowest address keeps reading it, so that no two follow each other.
-static bool IsBetter(const Follow& follow, const SourceStatus& news, TimeUs now)
+static bool IsBetter(const Follow& follow, const SourceStatus& status, TimeUs now)
 {
     if (follow.LeftStore)
     {
-        return news.Origin < follow.Own;
+        return status.Origin < follow.Own;
     }
-    return now - news.AgeUs >= follow.FreshUs + follow.Config.FresherMinUs;
+    return now - status.AgeUs >= follow.FreshUs + follow.Config.FresherMinUs;
 }
 
-FollowResult_ FollowAnswered(Follow* follow, const SourceStatus& news, TimeUs now, Random* random)
+FollowResult_ FollowAnswered(Follow* follow, const SourceStatus& status, TimeUs now, Random* random)
 {
     assert(follow->Next.Kind != SourceKind_None && "call FollowStart() first");
     const bool from_store = follow->Next.Kind == SourceKind_Store;
-    const bool ours = !from_store && !follow->Own.empty() && news.Origin == follow->Own;
-    const bool not_retried = news.StoreLost && news.TriedUs > follow->Config.StoreTryMaxAgeUs;
-    const bool old = !news.StoreLost && news.AgeUs > follow->Config.StaleUs;
-    if (news.Revision < follow->Revision)
+    const bool from_self = !from_store && !follow->Own.empty() && status.Origin == follow->Own;
+    const bool not_retried = status.StoreLost && status.TriedUs > follow->Config.StoreTryMaxAgeUs;
+    const bool old = !status.StoreLost && status.AgeUs > follow->Config.StaleUs;
+    if (status.Revision < follow->Revision)
     {
         FollowFailed(follow, false, now, random);
         return FollowResult_Stale;
     }
     const bool any = follow->TriedOthers == 0 || follow->Next.AskStore || follow->Revision == 0;
-    const bool better = any || IsBetter(*follow, news, now);
-    const bool is_behind = !better || (news.StoreLost && follow->LeftStore);
-    follow->Revision = news.Revision;
-    follow->FreshUs = std::max(follow->FreshUs, now - news.AgeUs);
+    const bool better = any || IsBetter(*follow, status, now);
+    const bool is_behind = !better || (status.StoreLost && follow->LeftStore);
+    follow->Revision = status.Revision;
+    follow->FreshUs = std::max(follow->FreshUs, now - status.AgeUs);
     if (is_behind || not_retried || old)
     {
         FollowFailed(follow, false, now, random);
         return FollowResult_Stale;
     }
-    if (ours && !news.StoreLost)
+    if (from_self && !status.StoreLost)
     {
         FollowFailed(follow, false, now, random);
         return FollowResult_Loop;
     }
-    if (news.StoreLost)
+    if (status.StoreLost)
     {
         OnStoreLost(follow, now, random);
         return FollowResult_StoreLost;
     }
-    OnGoodAnswer(follow, news, now, random);
+    OnGoodAnswer(follow, status, now, random);
     return FollowResult_Good;
 }
 
@@ -417,9 +417,9 @@
 
 void FollowAddInstance(Follow* follow, const std::string& address)
 {
-    const std::vector<std::string>& contacts = follow->OtherSeeds;
-    const bool contact = std::find(contacts.begin(), contacts.end(), address) != contacts.end();
-    if (address.empty() || contact || address == follow->Own)
+    const std::vector<std::string>& seeds = follow->OtherSeeds;
+    const bool is_seed = std::find(seeds.begin(), seeds.end(), address) != seeds.end();
+    if (address.empty() || is_seed || address == follow->Own)
     {
         return;
     }
@@ -448,10 +448,10 @@
     return sorted;
 }
 
-void FollowSetSources(Follow* follow, const std::string& own, const std::string& store, const std::vector<std::string>& contacts,
+void FollowSetSources(Follow* follow, const std::string& own, const std::string& store, const std::vector<std::string>& seeds,
                       Random* random)
 {
-    std::vector<std::string> sorted = contacts;
+    std::vector<std::string> sorted = seeds;
     std::sort(sorted.begin(), sorted.end());
     sorted.erase(std::unique(sorted.begin(), sorted.end()), sorted.end());
     const bool same = follow->StoreAddress == store && follow->Own == own && follow->Seeds == sorted;
@@ -485,35 +485,35 @@
 //-----------------------------------------------------------------------------
 
 // A random selection of the addresses, without the requester's.
-static std::vector<std::string> PickRandom(std::vector<std::string> addresses, const std::string& asker, size_t most, Random* random)
+static std::vector<std::string> PickRandom(std::vector<std::string> addresses, const std::string& requester, size_t count, Random* random)
 {
     const auto unfit = [&](const std::string& address)
     {
-        return address.empty() || address == asker;
+        return address.empty() || address == requester;
     };
     addresses.erase(std::remove_if(addresses.begin(), addresses.end(), unfit), addresses.end());
     std::shuffle(addresses.begin(), addresses.end(), *random);
-    addresses.resize(std::min(addresses.size(), most));
+    addresses.resize(std::min(addresses.size(), count));
     return addresses;
 }
 
 // The same, preferring the requester's data centre.
-static std::vector<std::string> PickNearby(const std::vector<std::string>& beside, const std::vector<std::string>& all,
-                                           const std::string& asker, size_t most, Random* random)
+static std::vector<std::string> PickNearby(const std::vector<std::string>& nearby, const std::vector<std::string>& all,
+                                           const std::string& requester, size_t count, Random* random)
 {
-    std::vector<std::string> named = PickRandom(beside, asker, most, random);
-    return named.empty() ? PickRandom(all, asker, most, random) : named;
+    std::vector<std::string> named = PickRandom(nearby, requester, count, random);
+    return named.empty() ? PickRandom(all, requester, count, random) : named;
 }
 
 // Whether the requester is in another data centre in which enough followers of this instance can serve it.
-static bool IsServedInOwnDataCentre(const FanoutConfig& config, const UpdateRequest& asker, const UpdateServer& holder, size_t beside)
+static bool IsServedInOwnDataCentre(const FanoutConfig& config, const UpdateRequest& requester, const UpdateServer& server, size_t nearby)
 {
-    const bool far = !asker.DataCentre.empty() && !holder.DataCentre.empty() && asker.DataCentre != holder.DataCentre;
-    return far && !asker.Seed && beside >= config.RemoteFollowersMax;
+    const bool far = !requester.DataCentre.empty() && !server.DataCentre.empty() && requester.DataCentre != server.DataCentre;
+    return far && !requester.Seed && nearby >= config.RemoteFollowersMax;
 }
 
 // Handles a full read. Returns the addresses to redirect to; empty if it is served here.
-static std::vector<std::string> RedirectFullRead(Fanout* fanout, const UpdateRequest& asker, const UpdateServer& holder, TimeUs now,
+static std::vector<std::string> RedirectFullRead(Fanout* fanout, const UpdateRequest& requester, const UpdateServer& server, TimeUs now,
                                                  Random* random)
 {
     std::deque<ServedFullRead>& starts = fanout->FullReads;
@@ -522,64 +522,64 @@
         starts.pop_front();
     }
     std::vector<std::string> served;
-    std::vector<std::string> beside;
+    std::vector<std::string> nearby;
     for (const ServedFullRead& start : starts)
     {
         served.push_back(start.Address);
-        if (start.DataCentre == asker.DataCentre)
+        if (start.DataCentre == requester.DataCentre)
         {
-            beside.push_back(start.Address);
+            nearby.push_back(start.Address);
         }
     }
-    const bool again = !asker.Address.empty() && std::find(served.begin(), served.end(), asker.Address) != served.end();
+    const bool again = !requester.Address.empty() && std::find(served.begin(), served.end(), requester.Address) != served.end();
     const bool elsewhere =
-        starts.size() >= fanout->Config.FullReadsMax || IsServedInOwnDataCentre(fanout->Config, asker, holder, beside.size());
+        starts.size() >= fanout->Config.FullReadsMax || IsServedInOwnDataCentre(fanout->Config, requester, server, nearby.size());
     std::vector<std::string> named;
     if (!again && elsewhere)
     {
-        named = PickNearby(beside, served, asker.Address, fanout->Config.RedirectsMax, random);
+        named = PickNearby(nearby, served, requester.Address, fanout->Config.RedirectsMax, random);
     }
     if (named.empty())
     {
-        starts.push_back({now, asker.Address, asker.DataCentre});
+        starts.push_back({now, requester.Address, requester.DataCentre});
     }
     return named;
 }
 
 // Whether the requester is to be answered at once.
-static bool AnswersNow(const UpdateRequest& asker, const UpdateServer& holder)
+static bool AnswersNow(const UpdateRequest& requester, const UpdateServer& server)
 {
-    const bool both_lost = holder.Revision == 0 && holder.StoreLost && asker.StoreLost; // Waiting here would be pointless.
-    if (asker.FullRead)
+    const bool both_lost = server.Revision == 0 && server.StoreLost && requester.StoreLost; // Waiting here would be pointless.
+    if (requester.FullRead)
     {
-        return holder.Revision != 0 || both_lost;
+        return server.Revision != 0 || both_lost;
     }
-    const bool loss_changed = holder.StoreLost != asker.StoreLost; // The state of the store has changed.
-    return holder.Revision == 0 || asker.After != holder.Revision ||
+    const bool loss_changed = server.StoreLost != requester.StoreLost; // The state of the store has changed.
+    return server.Revision == 0 || requester.After != server.Revision ||
            loss_changed; // A requester that is ahead is answered too, so that it leaves.
 }
 
-UpdateDecision FanoutDecide(Fanout* fanout, const UpdateRequest& asker, const UpdateServer& holder, TimeUs now, Random* random)
+UpdateDecision FanoutDecide(Fanout* fanout, const UpdateRequest& requester, const UpdateServer& server, TimeUs now, Random* random)
 {
-    if (asker.AskStore)
+    if (requester.AskStore)
     {
         return {UpdateAction_AskStore, {}};
     }
-    const bool full = holder.Followers.size() >= fanout->Config.FollowersMax;
+    const bool full = server.Followers.size() >= fanout->Config.FollowersMax;
     std::vector<std::string> named; // Empty while the store is lost: followers must get that from here.
-    if (asker.FullRead)
+    if (requester.FullRead)
     {
-        named = RedirectFullRead(fanout, asker, holder, now, random);
+        named = RedirectFullRead(fanout, requester, server, now, random);
     }
-    else if (!holder.StoreLost && (full || IsServedInOwnDataCentre(fanout->Config, asker, holder, holder.Nearby.size())))
+    else if (!server.StoreLost && (full || IsServedInOwnDataCentre(fanout->Config, requester, server, server.Nearby.size())))
     {
-        named = PickNearby(holder.Nearby, holder.Followers, asker.Address, fanout->Config.RedirectsMax, random);
+        named = PickNearby(server.Nearby, server.Followers, requester.Address, fanout->Config.RedirectsMax, random);
     }
     if (!named.empty())
     {
         return {UpdateAction_Redirect, std::move(named)};
     }
-    return {AnswersNow(asker, holder) ? UpdateAction_Answer : UpdateAction_Hold, {}};
+    return {AnswersNow(requester, server) ? UpdateAction_Answer : UpdateAction_Hold, {}};
 }
 
 } // namespace Winchlink
--- a/winchlink_internal.h
+++ b/winchlink_internal.h
@@ -77,10 +77,10 @@
 void ReadInt(ObjectReader* r, const char* key, bool required, int* out);
 
 // The same, with a fault if the number is out of range.
-void ReadIntBetween(ObjectReader* r, const char* key, bool required, int least, int most, int* out);
+void ReadIntBetween(ObjectReader* r, const char* key, bool required, int min, int max, int* out);
 
 // Reads an integer or real number, with a fault if it is out of range.
-void ReadRealBetween(ObjectReader* r, const char* key, bool required, double least, double most, double* out);
+void ReadRealBetween(ObjectReader* r, const char* key, bool required, double min, double max, double* out);
 
 // Reads a revision: an integer of at least 1.
 void ReadRevision(ObjectReader* r, const char* key, bool required, uint64_t* out);
--- a/winchlink_json.cpp
+++ b/winchlink_json.cpp
@@ -107,17 +107,17 @@
     *out = static_cast<int>(number);
 }
 
-void ReadIntBetween(ObjectReader* r, const char* key, bool required, int least, int most, int* out)
+void ReadIntBetween(ObjectReader* r, const char* key, bool required, int min, int max, int* out)
 {
     ReadInt(r, key, required, out);
-    if (*out < least || *out > most)
+    if (*out < min || *out > max)
     {
         AddFault(*r, r->Codes.OutOfRange, key,
-                 "expected " + std::to_string(least) + " to " + std::to_string(most) + ", found " + std::to_string(*out));
+                 "expected " + std::to_string(min) + " to " + std::to_string(max) + ", found " + std::to_string(*out));
     }
 }
 
-void ReadRealBetween(ObjectReader* r, const char* key, bool required, double least, double most, double* out)
+void ReadRealBetween(ObjectReader* r, const char* key, bool required, double min, double max, double* out)
 {
     json_t* value = ReadKey(r, key, required);
     if (value == nullptr)
@@ -130,10 +130,10 @@
         return;
     }
     const double number = json_number_value(value);
-    if (!(number >= least && number <= most))
+    if (!(number >= min && number <= max))
     {
         AddFault(*r, r->Codes.OutOfRange, key,
-                 "expected " + std::to_string(least) + " to " + std::to_string(most) + ", found " + std::to_string(number));
+                 "expected " + std::to_string(min) + " to " + std::to_string(max) + ", found " + std::to_string(number));
         return;
     }
     *out = number;
--- a/winchlink_pool.cpp
+++ b/winchlink_pool.cpp
@@ -318,16 +318,16 @@
 
 std::optional<TimeUs> PoolBackoffEnds(const TargetPool& pool, TimeUs now)
 {
-    std::optional<TimeUs> ends;
+    std::optional<TimeUs> earliest;
     for (const PoolTarget& target : pool.Targets)
     {
         if (PoolMayUse(target, now))
         {
             return std::nullopt;
         }
-        ends = std::min(ends.value_or(target.BackoffUntilUs), target.BackoffUntilUs);
+        earliest = std::min(earliest.value_or(target.BackoffUntilUs), target.BackoffUntilUs);
     }
-    return ends;
+    return earliest;
 }
 
 //-----------------------------------------------------------------------------
--- a/winchlink_quota.cpp
+++ b/winchlink_quota.cpp
@@ -456,10 +456,10 @@
     const double goal = AdmissionGoal(config, limit) * usable;
     const double unknown = goal * (1 - covered);
     const double even = goal / (static_cast<double>(config.WindowUs) * Seconds);
-    const double leaving = std::min(count.Expiring + even * (1 - covered),
-                                    even); // Bounded by the even rate, so that a burst that expires is not admitted as a burst again.
+    const double expiring = std::min(count.Expiring + even * (1 - covered),
+                                     even); // Bounded by the even rate, so that a burst that expires is not admitted as a burst again.
     const double correction = (goal - count.Admitted - unknown) / (static_cast<double>(config.CorrectionUs) * Seconds);
-    const double rate = std::max(leaving + correction, 0.0);
+    const double rate = std::max(expiring + correction, 0.0);
     const double wanted = std::max(count.Wanted, RateLowerBound(config, count.RecentWanted));
     return rate >= wanted ? 1 : rate / wanted;
 }
@@ -485,15 +485,16 @@
     return IsSignificantChange(before, share);
 }
 
-static void UpdateFleetSize(Quota* quota, const QuotaFleetSize& most, TimeUs now)
+static void UpdateFleetSize(Quota* quota, const QuotaFleetSize& fleet_size, TimeUs now)
 {
-    const bool valid = IsValidCount(most.Members) && most.Members >= 1 && most.AgeUs >= 0 && most.AgeUs <= quota->Config.MembersExpiryUs;
+    const bool valid = IsValidCount(fleet_size.Members) && fleet_size.Members >= 1 && fleet_size.AgeUs >= 0 &&
+                       fleet_size.AgeUs <= quota->Config.MembersExpiryUs;
     const bool forgotten = now - quota->MembersMaxUs > quota->Config.MembersExpiryUs;
-    if (valid && (forgotten || most.Members >= quota->MembersMax))
+    if (valid && (forgotten || fleet_size.Members >= quota->MembersMax))
     {
-        const bool same = !forgotten && most.Members == quota->MembersMax;
-        quota->MembersMax = most.Members;
-        quota->MembersMaxUs = same ? std::max(quota->MembersMaxUs, now - most.AgeUs) : now - most.AgeUs;
+        const bool same = !forgotten && fleet_size.Members == quota->MembersMax;
+        quota->MembersMax = fleet_size.Members;
+        quota->MembersMaxUs = same ? std::max(quota->MembersMaxUs, now - fleet_size.AgeUs) : now - fleet_size.AgeUs;
     }
 }
 
