--- a/gateway/caller_connection.cpp
+++ b/gateway/caller_connection.cpp
@@ -1,8 +1,8 @@
 // caller_connection.cpp: one connection of a caller: pipelined requests are read ahead, started and answered in order.
 //
-// The answer to a request that runs beside others is kept in its exchange until all earlier answers have been written. When the connection
-// is closing, the last started request gets the last answer. A request behind it was not started, so that its caller may safely send it
-// again on another connection.
+// The answer to a request that runs concurrently with others is kept in its exchange until all earlier answers have been written. When the
+// connection is closing, the last started request gets the last answer. A request behind it was not started, so that its caller may safely
+// send it again on another connection.
 //
 // Index of this file:
 // [SECTION] Closing
@@ -45,7 +45,7 @@
 // [SECTION] Closing
 //-----------------------------------------------------------------------------
 
-// Tells the handler that the caller has disconnected.
+// Notifies the handler that the caller has disconnected.
 static void NotifyGone(const ExchangePtr& exchange)
 {
     const std::function<void()> gone = std::move(exchange->OnGone); // Moved out, as the call may Reply(), which clears OnGone.
--- a/gateway/choose.cpp
+++ b/gateway/choose.cpp
@@ -201,7 +201,7 @@
     return all_over_limit || (call.Probed.empty() && PoolBackoffEnds(call.Service->Pool, now));
 }
 
-// Called when no more targets may be probed and none is good: settles for the best one, waits and probes again, or gives up.
+// Called when no more targets may be probed and none is good: takes the best acceptable one, waits and probes again, or gives up.
 static void Decide(const CallPtr& call)
 {
     const ForwardConfig& config = call->Owner->Config;
@@ -212,8 +212,8 @@
     const bool any = !call->Service->Pool.Targets.empty();
     const bool limited = AllLimited(*call, now);
     const bool may_wait = any && !limited && call->Choosing == Choosing_First && now + config.ProbeRetryUs < call->ChooseDeadlineUs;
-    const bool settles = in_time && PoolIsAcceptable(call->Service->Pool, *best, now);
-    if (settles || (in_time && !may_wait))
+    const bool acceptable = in_time && PoolIsAcceptable(call->Service->Pool, *best, now);
+    if (acceptable || (in_time && !may_wait))
     {
         SendTo(call, best);
         return;
@@ -290,7 +290,7 @@
                { OnProbeAnswer(forwarder, service, id, entry, answer); });
 }
 
-// The probed target may hang: allows one more probe beside it.
+// The probed target may hang: allows one more probe.
 static void OnSlowProbe(const CallPtr& call)
 {
     call->SlowProbeTimer = nullptr;
--- a/gateway/command_serve.cpp
+++ b/gateway/command_serve.cpp
@@ -1,6 +1,6 @@
 // command_serve.cpp: winchlink serve and winchlink gateway: run an instance until a signal stops it.
 //
-// They differ only in the adapter for configuration and headers: a table of rows, or the users' platform.
+// They differ only in the adapter for configuration and headers: a table of rows, or the platform's key-value store.
 
 #include "commands.h"
 #include "gateway.h"
--- a/gateway/crash_reports.cpp
+++ b/gateway/crash_reports.cpp
@@ -68,15 +68,15 @@
 }
 
 // Purpose of a call.
-enum EndsCall_ : int
+enum ReportCall_ : int
 {
-    EndsCall_Push,    // Sends all known entries.
-    EndsCall_Compare, // Sends only the digest, to compare.
+    ReportCall_Push,    // Sends all known entries.
+    ReportCall_Compare, // Sends only the digest, to compare.
 };
 
-static void OnCalled(CrashReports* reports, EndsCall_ kind, const ClientAnswer& answer);
+static void OnCalled(CrashReports* reports, ReportCall_ kind, const ClientAnswer& answer);
 
-static void SendCall(CrashReports* reports, EndsCall_ kind, const std::string& address, const std::string& message)
+static void SendCall(CrashReports* reports, ReportCall_ kind, const std::string& address, const std::string& message)
 {
     ClientRequest request;
     request.Address = address;
@@ -98,7 +98,7 @@
     const std::string message = EncodeAll(*reports);
     for (const std::string& address : reports->Peers())
     {
-        SendCall(reports, EndsCall_Push, address, message);
+        SendCall(reports, ReportCall_Push, address, message);
     }
 }
 
@@ -151,7 +151,7 @@
 }
 
 // Handles the answer to a call. If digests still differ after a comparison, the other instance lacks entries: a push follows.
-static void MergeAnswer(CrashReports* reports, EndsCall_ kind, const std::string& bytes)
+static void MergeAnswer(CrashReports* reports, ReportCall_ kind, const std::string& bytes)
 {
     const Result<CrashReportsMessage> message = DecodeOrLog(bytes);
     if (!message)
@@ -160,10 +160,10 @@
     }
     Merge(reports, message.value());
     const bool differs = message.value().Digest != reports->Known->Digest;
-    reports->PushWanted = reports->PushWanted || (differs && kind == EndsCall_Compare);
+    reports->PushWanted = reports->PushWanted || (differs && kind == ReportCall_Compare);
 }
 
-static void OnCalled(CrashReports* reports, EndsCall_ kind, const ClientAnswer& answer)
+static void OnCalled(CrashReports* reports, ReportCall_ kind, const ClientAnswer& answer)
 {
     reports->InProgress--;
     const bool good = answer.End == ClientEnd_Answered && answer.Status == 200;
@@ -204,7 +204,7 @@
     const std::string digest_only = EncodeCrashReports({reports->Known->Digest, {}});
     for (const std::string& address : reports->Peers())
     {
-        SendCall(reports, EndsCall_Compare, address, digest_only);
+        SendCall(reports, ReportCall_Compare, address, digest_only);
     }
 }
 
--- a/gateway/forward.h
+++ b/gateway/forward.h
@@ -20,7 +20,7 @@
 
 struct ForwardConfig
 {
-    TimeUs SlowProbeUs = 5 * UsPerMs;       // A probe that takes longer is slow: another target is probed beside it.
+    TimeUs SlowProbeUs = 5 * UsPerMs;       // A probe that takes longer is slow: another target is probed as well.
     int MaxProbes = 8;                      // Probes for one attempt.
     size_t MaxOverLimit = 64;               // Targets at their rate limits that are skipped for one attempt: bounds the time spent on them.
     TimeUs ReportReuseUs = 8 * UsPerMs;     // A target with a younger report is not probed again.
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -34,7 +34,7 @@
 struct StoreBatch
 {
     std::vector<StoreItem> Items;
-    uint64_t Revision = 0;   // Revision.
+    uint64_t Revision = 0;   // Store revision of Items.
     bool IsSnapshot = false; // Items is a full snapshot; otherwise it holds the changes.
 };
 
--- a/gateway/target_signals.cpp
+++ b/gateway/target_signals.cpp
@@ -17,7 +17,7 @@
 namespace Winchlink
 {
 
-static constexpr double BackoffMaxS = 3600; // Upper bound of a requested back-off.
+static constexpr double BackoffMaxS = 3600; // Upper bound of a requested backoff.
 static constexpr double ColdMaxMs = 3.6e6;  // Upper bound of a reported warm-up.
 static constexpr double LimitMaxPerS = 1e9; // Upper bound of a rate limit.
 
@@ -45,8 +45,7 @@
     return date >= 0 ? std::optional<time_t>(date) : std::nullopt;
 }
 
-// Parses seconds or an HTTP date. A date is taken relative to the answer's Date header, as the target's clock may differ from the local
-// one.
+// Parses seconds or an HTTP date. A date is taken relative to the answer's Date header, as the clocks may differ.
 static std::optional<double> ParseRetryAfter(const std::string& text, const std::vector<Header>& headers, time_t now_s)
 {
     const std::optional<double> seconds = ParseNumber(text);
--- a/gateway/target_signals.h
+++ b/gateway/target_signals.h
@@ -15,7 +15,7 @@
     std::optional<double> LimitPerS; // Rate limit in requests per second, for all instances together.
     std::optional<TimeUs> BackoffUs; // Time for which this instance must send it nothing.
     std::optional<TimeUs> ColdUs;    // Remaining warm-up time.
-    bool Draining = false;           // Draining: it takes no new requests.
+    bool Draining = false;           // It takes no new requests.
     std::vector<Header> Unreadable;  // Signal headers with malformed values, which are ignored.
 };
 
--- a/winchlink.h
+++ b/winchlink.h
@@ -395,7 +395,7 @@
 {
     TimeUs MissingKeptUs = 1300 * UsPerMs; // How long a missing entry is kept. Shorter than the time targets keep serving after removal.
     TimeUs RecoveryUs = 2200 * UsPerMs;    // Time that targets need to restore lost entries once the store has recovered.
-    TimeUs RecoveryGraceUs = UsPerSecond; // Entries missing within RecoveryUs plus this after the recovery may have been lost by the store.
+    TimeUs RecoveryGraceUs = UsPerSecond;  // Added to RecoveryUs: entries missing until then may have been lost by the store.
 };
 
 // Latest evacuation state of one data centre, as set by the operators.
@@ -521,7 +521,7 @@
     int FailuresInRow = 0;         // Consecutive failed requests and probes.
     TimeUs AvoidUntilUs = 0;       // After failures: used only as a last resort until then.
     TimeUs AvoidUnsafeUntilUs = 0; // After failures: ranked lower until then for requests that can't be retried.
-    TimeUs BackoffUntilUs = 0;     // End of the back-off that the target requested, see PoolBackOff().
+    TimeUs BackoffUntilUs = 0;     // End of the backoff that the target requested, see PoolBackOff().
 
     // Managed by the pool.
     int Group = 0;         // Index into PoolIndex::Groups.
@@ -575,7 +575,7 @@
     int NearlyFullSamples = 0;     // Samples in NearlyFullFactor.
     double ReportedWork = 0;       // Moving average of the requests at one target, from load reports.
     double OwnWork = 0;            // Moving average of this instance's requests in progress, sampled at the same times.
-    std::unordered_map<uint64_t, TimeUs> Backoffs; // End of the back-off by IncarnationId, also of targets that are not in the pool.
+    std::unordered_map<uint64_t, TimeUs> Backoffs; // End of the backoff by IncarnationId, also of targets that are not in the pool.
     int Evacuated = 0;                             // Targets left out because their data centre is evacuated.
     uint64_t LastGeneration = 0;                   // Last PoolTarget::Generation.
 
@@ -639,14 +639,14 @@
 // refuse requests while slots are free.
 bool PoolIsAcceptable(const TargetPool& pool, const PoolTarget& target, TimeUs now);
 
-// Starts or extends a back-off that an incarnation of a target requested: it gets neither requests nor probes until then. The back-off
+// Starts or extends a backoff that an incarnation of a target requested: it gets neither requests nor probes until then. The backoff
 // outlasts later answers and removal from the pool, and does not apply to other incarnations. Returns true if the target was usable before.
 bool PoolBackOff(TargetPool* pool, const std::string& id, uint64_t incarnation, TimeUs until, TimeUs now);
 
-// Whether no back-off forbids requests and probes to the target now.
+// Whether no backoff forbids requests and probes to the target now.
 bool PoolMayUse(const PoolTarget& target, TimeUs now);
 
-// The earliest end of a back-off if all targets are in back-off; none otherwise, or if the pool is empty.
+// The earliest end of a backoff if all targets are in backoff; none otherwise, or if the pool is empty.
 std::optional<TimeUs> PoolBackoffEnds(const TargetPool& pool, TimeUs now);
 
 void PoolReport(PoolTarget* target, const LoadReport& report, TimeUs now);
--- a/winchlink_pool.cpp
+++ b/winchlink_pool.cpp
@@ -1,4 +1,4 @@
-// winchlink_pool.cpp: the target pool: load reports, cost estimates, back-off and warm-up of the targets of one service.
+// winchlink_pool.cpp: the target pool: load reports, cost estimates, backoff and warm-up of the targets of one service.
 //
 // Index of this file:
 // [SECTION] Reports
@@ -126,7 +126,7 @@
     pool->Index.Groups[static_cast<size_t>(target->Group)].insert({target->Order, target});
 }
 
-// End of the back-off that this incarnation of a target requested; 0 if none.
+// End of the backoff that this incarnation of a target requested; 0 if none.
 static TimeUs BackoffOf(const TargetPool& pool, uint64_t incarnation_id)
 {
     const auto found = pool.Backoffs.find(incarnation_id);
--- a/winchlink_quota.cpp
+++ b/winchlink_quota.cpp
@@ -250,7 +250,7 @@
 // [SECTION] Admission
 //-----------------------------------------------------------------------------
 
-// Number of requests in a window that decisions aim for: the quota and a part of the tolerance.
+// Number of requests in a window towards which decisions steer: the quota and a part of the tolerance.
 static double AdmissionGoal(const QuotaConfig& config, const QuotaLimit& limit)
 {
     const double quota = limit.RatePerS * static_cast<double>(config.WindowUs) * Seconds + limit.Burst;
