--- a/gateway/attempt.cpp
+++ b/gateway/attempt.cpp
@@ -97,7 +97,7 @@
 // The attempt's target; null if it has left the pool or restarted.
 static PoolTarget* FindTargetOf(const Call& call, const Attempt& attempt)
 {
-    return PoolFindEntry(&call.Service->Pool, attempt.Target, attempt.Entry);
+    return PoolFindEntry(&call.Service->Pool, attempt.Target, attempt.Generation);
 }
 
 void PenalizeTargets(const Call& call)
@@ -351,9 +351,9 @@
     std::vector<Header> headers;
     for (const Header& header : call.Inbound->Headers)
     {
-        const bool ours =
+        const bool replaced =
             SameHeader(header.Name, names.Deadline) || SameHeader(header.Name, names.ExpectedTarget) || SameHeader(header.Name, "Expect");
-        if (!ours && !IsHopHeader(header.Name))
+        if (!replaced && !IsHopHeader(header.Name))
         {
             headers.push_back(header);
         }
@@ -383,9 +383,9 @@
     request.TimeoutUs = LeftUs(*call, now) + UsPerSecond; // DeadlineTimer fires first.
     request.ConnectUs = call->Owner->Config.ConnectUs;
     // Checked again right before sending: the target or the request may have become unusable since the choice.
-    request.MaySend = [call, id = target.Id, entry = target.Generation]()
+    request.MaySend = [call, id = target.Id, generation = target.Generation]()
     {
-        const PoolTarget* found = PoolFindEntry(&call->Service->Pool, id, entry);
+        const PoolTarget* found = PoolFindEntry(&call->Service->Pool, id, generation);
         const bool usable = found != nullptr && PoolMayUse(*found, NowUs());
         return !call->Ended && LeftUs(*call, NowUs()) > 0 && usable && !IsQuarantined(call.get()) && IsKeyValid(*call);
     };
@@ -484,7 +484,7 @@
     attempt.Target = target.Id;
     attempt.Address = target.Address;
     attempt.Incarnation = target.Incarnation;
-    attempt.Entry = target.Generation;
+    attempt.Generation = target.Generation;
     attempt.SentUs = now;
     attempt.Report = target.Report;
     attempt.ReportUs = target.ReportUs;
--- a/gateway/call.h
+++ b/gateway/call.h
@@ -36,7 +36,7 @@
     std::string Target;       // Id of the target.
     std::string Address;      // IP:port of the target.
     uint64_t Incarnation = 0; // Incarnation of the target.
-    uint64_t Entry = 0;       // See PoolTarget::Generation.
+    uint64_t Generation = 0;  // See PoolTarget::Generation.
     TimeUs SentUs = 0;        // Start of the attempt.
     LoadReport Report;        // Last known load of the target when it was chosen.
     TimeUs ReportUs = 0;      // Time of that report; 0 if none.
--- a/gateway/choose.cpp
+++ b/gateway/choose.cpp
@@ -23,11 +23,12 @@
 // [SECTION] Handling probe answers
 //-----------------------------------------------------------------------------
 
-// Updates the pool from a probe's answer. `entry` is the target's pool entry when it was probed; the answer of a target that has left the
-// pool or restarted since is ignored.
-static void LearnFromProbe(Forwarder* forwarder, ServiceState* service, const std::string& id, uint64_t entry, const ClientAnswer& answer)
+// Updates the pool from a probe's answer. `generation` is that of the target's pool entry when it was probed; the answer
+// of a target that has left the pool or restarted since is ignored.
+static void LearnFromProbe(Forwarder* forwarder, ServiceState* service, const std::string& id, uint64_t generation,
+                           const ClientAnswer& answer)
 {
-    PoolTarget* target = PoolFindEntry(&service->Pool, id, entry);
+    PoolTarget* target = PoolFindEntry(&service->Pool, id, generation);
     if (target == nullptr)
     {
         return;
@@ -249,11 +250,12 @@
     ProbeMore(call);
 }
 
-static void OnProbeAnswer(Forwarder* forwarder, ServiceState* service, const std::string& id, uint64_t entry, const ClientAnswer& answer)
+static void OnProbeAnswer(Forwarder* forwarder, ServiceState* service, const std::string& id, uint64_t generation,
+                          const ClientAnswer& answer)
 {
     const std::vector<CallPtr> waiters = std::move(service->Probes[id]);
     service->Probes.erase(id);
-    LearnFromProbe(forwarder, service, id, entry, answer);
+    LearnFromProbe(forwarder, service, id, generation, answer);
     for (const CallPtr& waiter : waiters)
     {
         OnProbed(waiter, id, answer.End == ClientEnd_Answered);
@@ -286,8 +288,8 @@
         }
     };
     ClientSend(forwarder->Targets, std::move(request),
-               [forwarder, service, id, entry = target.Generation](const ClientAnswer& answer)
-               { OnProbeAnswer(forwarder, service, id, entry, answer); });
+               [forwarder, service, id, generation = target.Generation](const ClientAnswer& answer)
+               { OnProbeAnswer(forwarder, service, id, generation, answer); });
 }
 
 // The probed target may hang: allows one more probe.
@@ -304,12 +306,12 @@
 // Probes the target, or shares the answer to a probe that another request has in flight.
 static void Probe(const CallPtr& call, const PoolTarget& target)
 {
-    std::vector<CallPtr>& askers = call->Service->Probes[target.Id];
+    std::vector<CallPtr>& waiters = call->Service->Probes[target.Id];
     call->ProbesInFlight++;
     call->ProbeCount++;
-    askers.push_back(call);
+    waiters.push_back(call);
     call->SlowProbeTimer = TimerStart(call->Owner->Loop, call->Owner->Config.SlowProbeUs, [call]() { OnSlowProbe(call); });
-    if (askers.size() == 1)
+    if (waiters.size() == 1)
     {
         SendProbe(*call, target);
         return;
--- a/gateway/quarantined_calls.cpp
+++ b/gateway/quarantined_calls.cpp
@@ -93,7 +93,7 @@
 void CheckForCrash(Call* call, const Attempt& attempt)
 {
     Forwarder* forwarder = call->Owner;
-    const PoolTarget* target = PoolFindEntry(&call->Service->Pool, attempt.Target, attempt.Entry);
+    const PoolTarget* target = PoolFindEntry(&call->Service->Pool, attempt.Target, attempt.Generation);
     if (target == nullptr)
     {
         return; // It is draining or has left: an intended stop.
--- a/winchlink.h
+++ b/winchlink.h
@@ -597,15 +597,15 @@
 PoolTarget* PoolFind(TargetPool* pool, const std::string& id);
 
 // The same, but null if the target was removed and added again or restarted since, so that its pool entry is another one.
-PoolTarget* PoolFindEntry(TargetPool* pool, const std::string& id, uint64_t entry);
+PoolTarget* PoolFindEntry(TargetPool* pool, const std::string& id, uint64_t generation);
 
-// The next target to probe, or to try where targets report no load; null if none is left that is not in `passed`. `careful`: the request
+// The next target to probe, or to try where targets report no load; null if none is left that is not in `passed`. `unsafe`: the request
 // can't be retried, so targets that failed recently rank lower.
-PoolTarget* PoolNext(TargetPool* pool, const std::vector<std::string>& passed, bool careful, TimeUs now);
+PoolTarget* PoolNext(TargetPool* pool, const std::vector<std::string>& passed, bool unsafe, TimeUs now);
 
 // The same where targets are not probed: chooses among equals at random. Without probes, instances that prefer the same targets would not
 // notice it.
-PoolTarget* PoolNextUnprobed(TargetPool* pool, const std::vector<std::string>& passed, bool careful, TimeUs now, Random* random);
+PoolTarget* PoolNextUnprobed(TargetPool* pool, const std::vector<std::string>& passed, bool unsafe, TimeUs now, Random* random);
 
 // Whether one more request would make the target nearly full.
 bool PoolNearlyFull(const PoolConfig& config, const LoadReport& report, int more);
--- a/winchlink_directory.cpp
+++ b/winchlink_directory.cpp
@@ -123,7 +123,7 @@
 }
 
 // Whether a recent failure of the store may have lost entries of running targets.
-static bool IsAfterTrouble(const TargetDirectory& directory, TimeUs now)
+static bool MayHaveLostEntries(const TargetDirectory& directory, TimeUs now)
 {
     const DirectoryConfig& config = directory.Config;
     return directory.StoreRecoveredUs > 0 && now < directory.StoreRecoveredUs + config.RecoveryUs + config.RecoveryGraceUs;
@@ -132,8 +132,8 @@
 static TimeUs ExpiryTime(const TargetDirectory& directory, TimeUs now)
 {
     const DirectoryConfig& config = directory.Config;
-    const TimeUs soonest = now + config.MissingKeptUs;
-    return IsAfterTrouble(directory, now) ? std::max(soonest, directory.StoreRecoveredUs + config.RecoveryUs) : soonest;
+    const TimeUs earliest = now + config.MissingKeptUs;
+    return MayHaveLostEntries(directory, now) ? std::max(earliest, directory.StoreRecoveredUs + config.RecoveryUs) : earliest;
 }
 
 static void MarkMissing(TargetDirectory* directory, DirectoryTarget* target, TimeUs now)
@@ -143,7 +143,7 @@
         target->Presence = Presence_Missing;
         target->ExpiryUs = ExpiryTime(*directory, now);
         NoteChange(directory, *target);
-        if (!directory->StoreUnavailable && !IsAfterTrouble(*directory, now))
+        if (!directory->StoreUnavailable && !MayHaveLostEntries(*directory, now))
         {
             directory->Crashed.push_back(TargetIncarnation(target->Id, target->Incarnation));
         }
--- a/winchlink_follow.cpp
+++ b/winchlink_follow.cpp
@@ -487,11 +487,11 @@
 // A random selection of the addresses, without the requester's.
 static std::vector<std::string> PickRandom(std::vector<std::string> addresses, const std::string& requester, size_t count, Random* random)
 {
-    const auto unfit = [&](const std::string& address)
+    const auto excluded = [&](const std::string& address)
     {
         return address.empty() || address == requester;
     };
-    addresses.erase(std::remove_if(addresses.begin(), addresses.end(), unfit), addresses.end());
+    addresses.erase(std::remove_if(addresses.begin(), addresses.end(), excluded), addresses.end());
     std::shuffle(addresses.begin(), addresses.end(), *random);
     addresses.resize(std::min(addresses.size(), count));
     return addresses;
--- a/winchlink_internal.h
+++ b/winchlink_internal.h
@@ -151,6 +151,6 @@
 // unless `had_new`, and PoolTarget::Order.
 using PoolRank = std::tuple<int, int, double, int, int64_t>;
 
-PoolRank PoolRankOf(const TargetPool& pool, const PoolTarget& target, bool had_new, bool careful, TimeUs now);
+PoolRank PoolRankOf(const TargetPool& pool, const PoolTarget& target, bool had_new, bool unsafe, TimeUs now);
 
 } // namespace Winchlink
--- a/winchlink_pick.cpp
+++ b/winchlink_pick.cpp
@@ -26,9 +26,9 @@
     return std::find(passed.begin(), passed.end(), target.Id) != passed.end();
 }
 
-// 0: healthy; 1: directory entry missing, or failed recently if `careful`; 2: avoided after failures; 3: cold, within this instance's
+// 0: healthy; 1: directory entry missing, or failed recently if `unsafe`; 2: avoided after failures; 3: cold, within this instance's
 // warm-up share; 4: cold, beyond it.
-static int TrustRank(const TargetPool& pool, const PoolTarget& target, bool careful, TimeUs now)
+static int TrustRank(const TargetPool& pool, const PoolTarget& target, bool unsafe, TimeUs now)
 {
     constexpr int cold = 3;
     const PoolCold_ state = PoolColdState(pool, target, now);
@@ -36,16 +36,16 @@
     {
         return cold + (state == PoolCold_NotOurs ? 1 : 0);
     }
-    const bool failed = careful && now < target.AvoidUnsafeUntilUs;
+    const bool failed = unsafe && now < target.AvoidUnsafeUntilUs;
     return now < target.AvoidUntilUs ? 2 : target.EntryMissing || failed ? 1 : 0;
 }
 
-PoolRank PoolRankOf(const TargetPool& pool, const PoolTarget& target, bool had_new, bool careful, TimeUs now)
+PoolRank PoolRankOf(const TargetPool& pool, const PoolTarget& target, bool had_new, bool unsafe, TimeUs now)
 {
     const double cost = PoolCost(pool, target, now);
     const int far = target.Near ? 0 : 1;
     const int not_preferred = target.New && !had_new ? 0 : 1;
-    return {TrustRank(pool, target, careful, now), cost > pool.Config.GoodCost ? 2 + far : far, cost, not_preferred, target.Order};
+    return {TrustRank(pool, target, unsafe, now), cost > pool.Config.GoodCost ? 2 + far : far, cost, not_preferred, target.Order};
 }
 
 // Unmarks targets that are at rest again.
@@ -71,7 +71,7 @@
     return found != group.end() ? found->second : nullptr;
 }
 
-PoolTarget* PoolNext(TargetPool* pool, const std::vector<std::string>& passed, bool careful, TimeUs now)
+PoolTarget* PoolNext(TargetPool* pool, const std::vector<std::string>& passed, bool unsafe, TimeUs now)
 {
     DropMarks(pool, now);
     const bool had_new = PassedNew(*pool, passed);
@@ -83,7 +83,7 @@
         {
             return;
         }
-        const PoolRank rank = PoolRankOf(*pool, *target, had_new, careful, now);
+        const PoolRank rank = PoolRankOf(*pool, *target, had_new, unsafe, now);
         if ((best == nullptr || rank < best_rank) && !HasPassed(passed, *target))
         {
             best = target;
@@ -106,7 +106,7 @@
 }
 
 // Compares all targets, as each needs a random order of its own; a table row has at most RowTargetsMax of them.
-PoolTarget* PoolNextUnprobed(TargetPool* pool, const std::vector<std::string>& passed, bool careful, TimeUs now, Random* random)
+PoolTarget* PoolNextUnprobed(TargetPool* pool, const std::vector<std::string>& passed, bool unsafe, TimeUs now, Random* random)
 {
     const bool had_new = PassedNew(*pool, passed);
     PoolTarget* best = nullptr;
@@ -117,7 +117,7 @@
         {
             continue;
         }
-        PoolRank rank = PoolRankOf(*pool, target, had_new, careful, now);
+        PoolRank rank = PoolRankOf(*pool, target, had_new, unsafe, now);
         std::get<int64_t>(rank) = PoolDrawOrder(target, random);
         if (best == nullptr || rank < best_rank)
         {
--- a/winchlink_pool.cpp
+++ b/winchlink_pool.cpp
@@ -91,10 +91,10 @@
     return &*found->second;
 }
 
-PoolTarget* PoolFindEntry(TargetPool* pool, const std::string& id, uint64_t entry)
+PoolTarget* PoolFindEntry(TargetPool* pool, const std::string& id, uint64_t generation)
 {
     PoolTarget* target = PoolFind(pool, id);
-    return target != nullptr && target->Generation == entry ? target : nullptr;
+    return target != nullptr && target->Generation == generation ? target : nullptr;
 }
 
 int64_t PoolDrawOrder(const PoolTarget& target, Random* random)
