--- a/gateway/pages.cpp
+++ b/gateway/pages.cpp
@@ -93,7 +93,7 @@
     return text;
 }
 
-static int64_t CountHeld(const Quarantine& quarantine)
+static int64_t CountQuarantined(const Quarantine& quarantine)
 {
     const auto quarantined = [now = NowUs()](const auto& entry)
     {
@@ -128,7 +128,7 @@
     text += fmt::format("winchlink_items_invalid {}\n", gateway.Invalid.size());
     text += fmt::format("winchlink_items_invalid_seen {}\n", gateway.InvalidSeen);
     text += EvacuationsText(requests.Directory);
-    text += fmt::format("winchlink_requests_held {}\n", CountHeld(requests.Quarantined));
+    text += fmt::format("winchlink_requests_held {}\n", CountQuarantined(requests.Quarantined));
     text += fmt::format("winchlink_requests_suspected {}\n", requests.Quarantined.Requests.size());
     text += fmt::format("winchlink_target_ends_calls {}\n", gateway.Crashes.CallsMade);
     text += QuotasText(gateway);
