--- a/winchlink.h
+++ b/winchlink.h
@@ -197,7 +197,7 @@
     int ConnectionsPerInstance = 16;       // Maximum connections from one instance to one target.
     int RequestsPerInstance = 0;           // Maximum requests of the row in progress at one instance; 0: no limit.
     int DeadlineMs = 1000;                 // Deadline of requests that set none.
-    int LatencyObjectiveMs = 0;            // Latency objective; 0: half of DeadlineMs.
+    int LatencyObjectiveMs = 0;            // Time within which an answer is good; 0: half of DeadlineMs.
     int AttemptsMax = 3;                   // Including the first.
     std::string HealthPath;                // Path of the probe, a GET request; empty: targets are not probed.
     std::vector<std::string> RetryMethods; // Methods of requests that may be retried.
--- a/winchlink_internal.h
+++ b/winchlink_internal.h
@@ -139,9 +139,9 @@
 // Whether a target's warm-up limits the requests that this instance may send to it.
 enum PoolCold_ : int
 {
-    PoolCold_None,    // It is warm, or its service has no limit for cold targets.
-    PoolCold_OurTurn, // It is cold, and this instance may send one request now.
-    PoolCold_NotOurs, // It is cold, and this instance may not send one yet.
+    PoolCold_None,     // It is warm, or its service has no limit for cold targets.
+    PoolCold_MaySend,  // It is cold, and this instance may send one request now.
+    PoolCold_MustWait, // It is cold, and this instance may not send one yet.
     PoolCold_COUNT,
 };
 
--- a/winchlink_pick.cpp
+++ b/winchlink_pick.cpp
@@ -34,7 +34,7 @@
     const PoolCold_ state = PoolColdState(pool, target, now);
     if (state != PoolCold_None)
     {
-        return cold + (state == PoolCold_NotOurs ? 1 : 0);
+        return cold + (state == PoolCold_MustWait ? 1 : 0);
     }
     const bool failed = unsafe && now < target.AvoidUnsafeUntilUs;
     return now < target.AvoidUntilUs ? 2 : target.EntryMissing || failed ? 1 : 0;
--- a/winchlink_pool.cpp
+++ b/winchlink_pool.cpp
@@ -365,14 +365,14 @@
     const double phase = static_cast<double>(target.Order % phases) / phases; // Random, see PoolDrawOrder().
     const auto since = static_cast<double>(now - (target.ColdUntilUs - config.ColdUs)) / UsPerSecond;
     const double allowed = phase + ShareOfWork(pool) * config.ColdPerS * std::max(since, 0.0);
-    return target.ColdSent + 1 <= allowed ? PoolCold_OurTurn : PoolCold_NotOurs;
+    return target.ColdSent + 1 <= allowed ? PoolCold_MaySend : PoolCold_MustWait;
 }
 
 bool PoolMaySendCold(const TargetPool& pool, const PoolTarget& target, TimeUs now)
 {
     const PoolCold_ state = PoolColdState(pool, target, now);
     const bool idle = target.Report.Running + target.Report.Waiting + target.SentSinceReport == 0 && target.InFlight == 0;
-    return state == PoolCold_None || (state == PoolCold_OurTurn && idle);
+    return state == PoolCold_None || (state == PoolCold_MaySend && idle);
 }
 
 //-----------------------------------------------------------------------------
