--- a/gateway/choose.cpp
+++ b/gateway/choose.cpp
@@ -23,11 +23,12 @@
 // [SECTION] Handling probe answers
 //-----------------------------------------------------------------------------
 
-// Updates the pool from a probe's answer. `entry` is the target's pool entry when it was probed; the answer of a target that has left the
-// pool or restarted since is ignored.
-static void LearnFromProbe(Forwarder* forwarder, ServiceState* service, const std::string& id, uint64_t entry, const ClientAnswer& answer)
+// Updates the pool from a probe's answer. `generation` is that of the target's pool entry when it was probed; the answer
+// of a target that has left the pool or restarted since is ignored.
+static void LearnFromProbe(Forwarder* forwarder, ServiceState* service, const std::string& id, uint64_t generation,
+                           const ClientAnswer& answer)
 {
-    PoolTarget* target = PoolFindEntry(&service->Pool, id, entry);
+    PoolTarget* target = PoolFindEntry(&service->Pool, id, generation);
     if (target == nullptr)
     {
         return;
@@ -70,8 +71,8 @@
 // Whether this instance may open one more connection to the target.
 static bool MayConnect(const Call& call, const PoolTarget& target)
 {
-    const int most = call.Spec->ConnectionsMax;
-    return most == 0 || target.InFlight < most;
+    const int max = call.Spec->ConnectionsMax;
+    return max == 0 || target.InFlight < max;
 }
 
 static bool Contains(const std::vector<std::string>& ids, const std::string& id)
@@ -109,9 +110,9 @@
 static bool HasCapacity(Call* call, const PoolTarget& target, TimeUs now)
 {
     const TargetPool& pool = call->Service->Pool;
-    const bool room =
+    const bool usable =
         PoolMayUse(target, now) && PoolHasFreeSlot(pool, target) && PoolMaySendCold(pool, target, now) && MayConnect(*call, target);
-    return room && TakeLimit(call, target, now);
+    return usable && TakeLimit(call, target, now);
 }
 
 // Whether a target is good enough to be chosen without probing others.
@@ -201,7 +202,7 @@
     return all_over_limit || (call.Probed.empty() && PoolBackoffEnds(call.Service->Pool, now));
 }
 
-// Called when no more targets may be probed and none is good: settles for the best one, waits and probes again, or gives up.
+// Called when no more targets may be probed and none is good: takes the best acceptable one, waits and probes again, or gives up.
 static void Decide(const CallPtr& call)
 {
     const ForwardConfig& config = call->Owner->Config;
@@ -212,8 +213,8 @@
     const bool any = !call->Service->Pool.Targets.empty();
     const bool limited = AllLimited(*call, now);
     const bool may_wait = any && !limited && call->Choosing == Choosing_First && now + config.ProbeRetryUs < call->ChooseDeadlineUs;
-    const bool settles = in_time && PoolIsAcceptable(call->Service->Pool, *best, now);
-    if (settles || (in_time && !may_wait))
+    const bool acceptable = in_time && PoolIsAcceptable(call->Service->Pool, *best, now);
+    if (acceptable || (in_time && !may_wait))
     {
         SendTo(call, best);
         return;
@@ -249,14 +250,15 @@
     ProbeMore(call);
 }
 
-static void OnProbeAnswer(Forwarder* forwarder, ServiceState* service, const std::string& id, uint64_t entry, const ClientAnswer& answer)
+static void OnProbeAnswer(Forwarder* forwarder, ServiceState* service, const std::string& id, uint64_t generation,
+                          const ClientAnswer& answer)
 {
-    const std::vector<CallPtr> askers = std::move(service->Probes[id]);
+    const std::vector<CallPtr> waiters = std::move(service->Probes[id]);
     service->Probes.erase(id);
-    LearnFromProbe(forwarder, service, id, entry, answer);
-    for (const CallPtr& asker : askers)
+    LearnFromProbe(forwarder, service, id, generation, answer);
+    for (const CallPtr& waiter : waiters)
     {
-        OnProbed(asker, id, answer.End == ClientEnd_Answered);
+        OnProbed(waiter, id, answer.End == ClientEnd_Answered);
     }
 }
 
@@ -286,11 +288,11 @@
         }
     };
     ClientSend(forwarder->Targets, std::move(request),
-               [forwarder, service, id, entry = target.Generation](const ClientAnswer& answer)
-               { OnProbeAnswer(forwarder, service, id, entry, answer); });
+               [forwarder, service, id, generation = target.Generation](const ClientAnswer& answer)
+               { OnProbeAnswer(forwarder, service, id, generation, answer); });
 }
 
-// The probed target may hang: allows one more probe beside it.
+// The probed target may hang: allows one more probe.
 static void OnSlowProbe(const CallPtr& call)
 {
     call->SlowProbeTimer = nullptr;
@@ -304,12 +306,12 @@
 // Probes the target, or shares the answer to a probe that another request has in flight.
 static void Probe(const CallPtr& call, const PoolTarget& target)
 {
-    std::vector<CallPtr>& askers = call->Service->Probes[target.Id];
+    std::vector<CallPtr>& waiters = call->Service->Probes[target.Id];
     call->ProbesInFlight++;
     call->ProbeCount++;
-    askers.push_back(call);
+    waiters.push_back(call);
     call->SlowProbeTimer = TimerStart(call->Owner->Loop, call->Owner->Config.SlowProbeUs, [call]() { OnSlowProbe(call); });
-    if (askers.size() == 1)
+    if (waiters.size() == 1)
     {
         SendProbe(*call, target);
         return;
@@ -426,8 +428,8 @@
     }
     service->Waiting = std::move(still_waiting);
     PoolTarget* target = PoolFind(&service->Pool, target_id);
-    const bool told = target != nullptr && target->ReportUs > 0;
-    if (first && told && IsGood(first.get(), *target, NowUs()))
+    const bool has_report = target != nullptr && target->ReportUs > 0;
+    if (first && has_report && IsGood(first.get(), *target, NowUs()))
     {
         first->ProbeRetryTimer = nullptr;
         SendTo(first, target);
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -34,7 +34,7 @@
 struct StoreBatch
 {
     std::vector<StoreItem> Items;
-    uint64_t Revision = 0;   // Revision.
+    uint64_t Revision = 0;   // Store revision of Items.
     bool IsSnapshot = false; // Items is a full snapshot; otherwise it holds the changes.
 };
 
@@ -59,7 +59,7 @@
     std::vector<SignalWatch> Signals;
     Timer TickTimer;                            // Next periodic work, such as the check of the settings file.
     std::vector<StoreBatch> PendingBatches;     // Batches sent to followers and not applied here yet, in order.
-    Timer ApplyTimer;                           // Applies the batches in Unread.
+    Timer ApplyTimer;                           // Applies PendingBatches.
     Timer ForgetTimer;                          // Removes the next missing target whose retention is over.
     Timer StopTimer;                            // Next step of a planned stop.
     TimeUs StartedUs = 0;                       // Time of GatewayStart().
--- a/winchlink_internal.h
+++ b/winchlink_internal.h
@@ -77,10 +77,10 @@
 void ReadInt(ObjectReader* r, const char* key, bool required, int* out);
 
 // The same, with a fault if the number is out of range.
-void ReadIntBetween(ObjectReader* r, const char* key, bool required, int least, int most, int* out);
+void ReadIntBetween(ObjectReader* r, const char* key, bool required, int min, int max, int* out);
 
 // Reads an integer or real number, with a fault if it is out of range.
-void ReadRealBetween(ObjectReader* r, const char* key, bool required, double least, double most, double* out);
+void ReadRealBetween(ObjectReader* r, const char* key, bool required, double min, double max, double* out);
 
 // Reads a revision: an integer of at least 1.
 void ReadRevision(ObjectReader* r, const char* key, bool required, uint64_t* out);
@@ -139,9 +139,9 @@
 // Whether a target's warm-up limits the requests that this instance may send to it.
 enum PoolCold_ : int
 {
-    PoolCold_None,    // It is warm, or its service has no limit for cold targets.
-    PoolCold_OurTurn, // It is cold, and this instance may send one request now.
-    PoolCold_NotOurs, // It is cold, and this instance may not send one yet.
+    PoolCold_None,     // It is warm, or its service has no limit for cold targets.
+    PoolCold_MaySend,  // It is cold, and this instance may send one request now.
+    PoolCold_MustWait, // It is cold, and this instance may not send one yet.
     PoolCold_COUNT,
 };
 
@@ -151,6 +151,6 @@
 // unless `had_new`, and PoolTarget::Order.
 using PoolRank = std::tuple<int, int, double, int, int64_t>;
 
-PoolRank PoolRankOf(const TargetPool& pool, const PoolTarget& target, bool had_new, bool careful, TimeUs now);
+PoolRank PoolRankOf(const TargetPool& pool, const PoolTarget& target, bool had_new, bool unsafe, TimeUs now);
 
 } // namespace Winchlink
--- a/winchlink_pool.cpp
+++ b/winchlink_pool.cpp
@@ -1,4 +1,4 @@
-// winchlink_pool.cpp: the target pool: load reports, cost estimates, back-off and warm-up of the targets of one service.
+// winchlink_pool.cpp: the target pool: load reports, cost estimates, backoff and warm-up of the targets of one service.
 //
 // Index of this file:
 // [SECTION] Reports
@@ -91,10 +91,10 @@
     return &*found->second;
 }
 
-PoolTarget* PoolFindEntry(TargetPool* pool, const std::string& id, uint64_t entry)
+PoolTarget* PoolFindEntry(TargetPool* pool, const std::string& id, uint64_t generation)
 {
     PoolTarget* target = PoolFind(pool, id);
-    return target != nullptr && target->Generation == entry ? target : nullptr;
+    return target != nullptr && target->Generation == generation ? target : nullptr;
 }
 
 int64_t PoolDrawOrder(const PoolTarget& target, Random* random)
@@ -126,7 +126,7 @@
     pool->Index.Groups[static_cast<size_t>(target->Group)].insert({target->Order, target});
 }
 
-// End of the back-off that this incarnation of a target requested; 0 if none.
+// End of the backoff that this incarnation of a target requested; 0 if none.
 static TimeUs BackoffOf(const TargetPool& pool, uint64_t incarnation_id)
 {
     const auto found = pool.Backoffs.find(incarnation_id);
@@ -318,16 +318,16 @@
 
 std::optional<TimeUs> PoolBackoffEnds(const TargetPool& pool, TimeUs now)
 {
-    std::optional<TimeUs> ends;
+    std::optional<TimeUs> earliest;
     for (const PoolTarget& target : pool.Targets)
     {
         if (PoolMayUse(target, now))
         {
             return std::nullopt;
         }
-        ends = std::min(ends.value_or(target.BackoffUntilUs), target.BackoffUntilUs);
+        earliest = std::min(earliest.value_or(target.BackoffUntilUs), target.BackoffUntilUs);
     }
-    return ends;
+    return earliest;
 }
 
 //-----------------------------------------------------------------------------
@@ -365,14 +365,14 @@
     const double phase = static_cast<double>(target.Order % phases) / phases; // Random, see PoolDrawOrder().
     const auto since = static_cast<double>(now - (target.ColdUntilUs - config.ColdUs)) / UsPerSecond;
     const double allowed = phase + ShareOfWork(pool) * config.ColdPerS * std::max(since, 0.0);
-    return target.ColdSent + 1 <= allowed ? PoolCold_OurTurn : PoolCold_NotOurs;
+    return target.ColdSent + 1 <= allowed ? PoolCold_MaySend : PoolCold_MustWait;
 }
 
 bool PoolMaySendCold(const TargetPool& pool, const PoolTarget& target, TimeUs now)
 {
     const PoolCold_ state = PoolColdState(pool, target, now);
     const bool idle = target.Report.Running + target.Report.Waiting + target.SentSinceReport == 0 && target.InFlight == 0;
-    return state == PoolCold_None || (state == PoolCold_OurTurn && idle);
+    return state == PoolCold_None || (state == PoolCold_MaySend && idle);
 }
 
 //-----------------------------------------------------------------------------
