--- a/bench/numbers.cpp
+++ b/bench/numbers.cpp
@@ -27,8 +27,8 @@
     {
         return {};
     }
-    const auto ends = std::minmax_element(values.begin(), values.end());
-    return {QuantileOf(values, 0.5), *ends.first, *ends.second};
+    const auto min_max = std::minmax_element(values.begin(), values.end());
+    return {QuantileOf(values, 0.5), *min_max.first, *min_max.second};
 }
 
 } // namespace Winchlink
--- a/bench/soak.cpp
+++ b/bench/soak.cpp
@@ -84,7 +84,7 @@
 static bool StartAll(Soak* soak)
 {
     constexpr int targets = 8;
-    constexpr double repeat_share = 0.2;
+    constexpr double retry_share = 0.2;
     if (soak->Folder.empty() || !UsersStoreStart(&soak->Store, &soak->Loop, FreeLoopback()))
     {
         return false;
@@ -97,7 +97,7 @@
     Configure(soak);
     for (const auto& instance : soak->Instances)
     {
-        WriteSettings(*soak, *instance, repeat_share);
+        WriteSettings(*soak, *instance, retry_share);
         StartInstance(soak, instance.get());
     }
     return true;
--- a/bench/soak.h
+++ b/bench/soak.h
@@ -121,8 +121,8 @@
 };
 
 // Draw uniformly from Rng, bounds included.
-int64_t Between(Soak* soak, int64_t least, int64_t most);
-TimeUs MsBetween(Soak* soak, int64_t least, int64_t most);
+int64_t Between(Soak* soak, int64_t min, int64_t max);
+TimeUs MsBetween(Soak* soak, int64_t min, int64_t max);
 
 // Runs a function after a delay.
 void Later(Soak* soak, TimeUs delay, std::function<void()> run);
@@ -131,7 +131,7 @@
 size_t BeginDisruption(Soak* soak, int instance, bool planned);
 void EndDisruption(Soak* soak, size_t* index);
 
-void WriteSettings(const Soak& soak, const SoakInstance& instance, double repeat_share);
+void WriteSettings(const Soak& soak, const SoakInstance& instance, double retry_share);
 void StartInstance(Soak* soak, SoakInstance* instance);
 SoakTarget* AddTarget(Soak* soak, const std::string& service);
 
--- a/bench/soak_audit.cpp
+++ b/bench/soak_audit.cpp
@@ -166,8 +166,8 @@
     {
         for (const SoakArrival* arrival : arrivals)
         {
-            const bool told = arrival->AtUs > arrivals.front()->AtUs + bounds.HeardUs;
-            if (told && IsUndisrupted(log, bounds, instance, limit.FromUs, arrival->AtUs, true))
+            const bool notified = arrival->AtUs > arrivals.front()->AtUs + bounds.HeardUs;
+            if (notified && IsUndisrupted(log, bounds, instance, limit.FromUs, arrival->AtUs, true))
             {
                 times.push_back(arrival->AtUs);
             }
@@ -182,11 +182,11 @@
     {
         const std::vector<TimeUs> times = ArrivalsUnderLimit(log, bounds, limit);
         const double window_s = static_cast<double>(bounds.LimitWindowUs) / UsPerSecond;
-        const double most = limit.PerS * window_s * bounds.LimitOverage + bounds.LimitSlack;
+        const double max = limit.PerS * window_s * bounds.LimitOverage + bounds.LimitSlack;
         for (const TimeUs at : times)
         {
             const bool binds = at >= limit.FromUs + bounds.LimitApplyUs;
-            if (binds && CountIn(times, at - bounds.LimitWindowUs + 1, at + 1) > most)
+            if (binds && CountIn(times, at - bounds.LimitWindowUs + 1, at + 1) > max)
             {
                 (*found)["more requests than a target takes"].push_back(limit.Target);
             }
@@ -229,9 +229,9 @@
     {
         for (const auto& [instance, arrivals] : ByInstance(log, leaving.Target, leaving.AtUs, leaving.UntilUs))
         {
-            const TimeUs told = arrivals.front()->AtUs + bounds.HeardUs;
+            const TimeUs notified_us = arrivals.front()->AtUs + bounds.HeardUs;
             const SoakArrival* last = arrivals.back();
-            if (last->AtUs > told + bounds.DrainUs && IsUndisrupted(log, bounds, instance, told, last->AtUs, true))
+            if (last->AtUs > notified_us + bounds.DrainUs && IsUndisrupted(log, bounds, instance, notified_us, last->AtUs, true))
             {
                 (*found)["sent to a target that has said that it leaves"].push_back(last->Id);
             }
@@ -275,22 +275,22 @@
 
 static void CheckBudget(const SoakLog& log, const SoakBounds& bounds, Findings* found)
 {
-    std::map<std::string, std::vector<TimeUs>> repeats; // Retries by service.
+    std::map<std::string, std::vector<TimeUs>> retries; // Retries by service.
     std::map<std::string, std::vector<TimeUs>> firsts;
     std::set<std::string> seen;
     for (const SoakArrival& arrival : log.Arrivals)
     {
-        (seen.insert(arrival.Id).second ? firsts : repeats)[arrival.Service].push_back(arrival.AtUs);
+        (seen.insert(arrival.Id).second ? firsts : retries)[arrival.Service].push_back(arrival.AtUs);
     }
-    for (const auto& entry : repeats)
+    for (const auto& entry : retries)
     {
         for (const TimeUs at : entry.second)
         {
             const TimeUs from = at + 1 - bounds.WindowUs;
             const std::vector<TimeUs>& asked = firsts[entry.first];
-            const int most = std::max({CountIn(asked, from, at + 1), CountIn(asked, from - bounds.WindowUs, from),
-                                       CountIn(asked, from - bounds.WindowUs / 2, from + bounds.WindowUs / 2)});
-            if (CountIn(entry.second, from, at + 1) > bounds.RepeatShare * most + bounds.RepeatExtra * log.Instances)
+            const int max = std::max({CountIn(asked, from, at + 1), CountIn(asked, from - bounds.WindowUs, from),
+                                      CountIn(asked, from - bounds.WindowUs / 2, from + bounds.WindowUs / 2)});
+            if (CountIn(entry.second, from, at + 1) > bounds.RepeatShare * max + bounds.RepeatExtra * log.Instances)
             {
                 (*found)["more repeats than the budget"].push_back(entry.first);
                 break;
@@ -302,11 +302,11 @@
 // By path: the time of the crash that makes instances quarantine the path.
 static std::map<std::string, TimeUs> QuarantineTimes(const SoakLog& log, const SoakBounds& bounds)
 {
-    std::map<std::string, size_t> ends;
+    std::map<std::string, size_t> crashes;
     std::map<std::string, TimeUs> enough;
     for (const SoakCrash& end : log.Ends)
     {
-        if (++ends[end.Path] == bounds.EndsMost)
+        if (++crashes[end.Path] == bounds.EndsMost)
         {
             enough[end.Path] = end.AtUs;
         }
--- a/bench/soak_ends.cpp
+++ b/bench/soak_ends.cpp
@@ -16,9 +16,9 @@
 namespace Winchlink
 {
 
-static int64_t DrawWithEndsRng(Soak* soak, int64_t least, int64_t most)
+static int64_t DrawWithCrashesRng(Soak* soak, int64_t min, int64_t max)
 {
-    return std::uniform_int_distribution<int64_t>(least, most)(soak->CrashesRng);
+    return std::uniform_int_distribution<int64_t>(min, max)(soak->CrashesRng);
 }
 
 //-----------------------------------------------------------------------------
@@ -56,7 +56,7 @@
 static void RestartTargetLater(Soak* soak, SoakTarget* target)
 {
     target->Down = true;
-    Later(soak, DrawWithEndsRng(soak, 300, 2000) * UsPerMs,
+    Later(soak, DrawWithCrashesRng(soak, 300, 2000) * UsPerMs,
           [soak, target]()
           {
               if (target->Listed) // Not if it was removed meanwhile.
@@ -127,7 +127,7 @@
     if (soak->Striking)
     {
         SendCrashingRequest(soak, path);
-        Later(soak, DrawWithEndsRng(soak, 100, 400) * UsPerMs, [soak, path]() { SendCrashingRequests(soak, path); });
+        Later(soak, DrawWithCrashesRng(soak, 100, 400) * UsPerMs, [soak, path]() { SendCrashingRequests(soak, path); });
     }
 }
 
@@ -145,7 +145,7 @@
             listed.push_back(target.get());
         }
     }
-    return listed.empty() ? nullptr : listed[static_cast<size_t>(DrawWithEndsRng(soak, 0, static_cast<int64_t>(listed.size()) - 1))];
+    return listed.empty() ? nullptr : listed[static_cast<size_t>(DrawWithCrashesRng(soak, 0, static_cast<int64_t>(listed.size()) - 1))];
 }
 
 static std::string EntryKey(const std::string& id)
@@ -180,7 +180,7 @@
     {
         return;
     }
-    if (DrawWithEndsRng(soak, 0, 1) == 0)
+    if (DrawWithCrashesRng(soak, 0, 1) == 0)
     {
         UsersStorePut(&soak->Store, key, InvalidEntryValue);
     }
@@ -190,7 +190,7 @@
     }
     soak->Log.Leavings.push_back({id, NowUs()});
     soak->Spoilt[id] = soak->Log.Leavings.size() - 1;
-    Later(soak, DrawWithEndsRng(soak, 200, 4000) * UsPerMs,
+    Later(soak, DrawWithCrashesRng(soak, 200, 4000) * UsPerMs,
           [soak, target]()
           {
               if (target->Listed)
@@ -210,7 +210,7 @@
     {
         return;
     }
-    const int64_t draw = DrawWithEndsRng(soak, 0, 5);
+    const int64_t draw = DrawWithCrashesRng(soak, 0, 5);
     SoakTarget* target = PickListed(soak);
     if (draw == 0)
     {
@@ -228,7 +228,7 @@
         soak->Drawn["foreign entry"]++;
         PublishInvalidEntry(soak, target);
     }
-    Later(soak, DrawWithEndsRng(soak, 300, 2500) * UsPerMs, [soak]() { InjectCrashFaults(soak); });
+    Later(soak, DrawWithCrashesRng(soak, 300, 2500) * UsPerMs, [soak]() { InjectCrashFaults(soak); });
 }
 
 void InjectCrashes(Soak* soak)
--- a/bench/soak_parts.cpp
+++ b/bench/soak_parts.cpp
@@ -20,14 +20,14 @@
 // [SECTION] Parts
 //-----------------------------------------------------------------------------
 
-int64_t Between(Soak* soak, int64_t least, int64_t most)
+int64_t Between(Soak* soak, int64_t min, int64_t max)
 {
-    return std::uniform_int_distribution<int64_t>(least, most)(soak->Rng);
+    return std::uniform_int_distribution<int64_t>(min, max)(soak->Rng);
 }
 
-TimeUs MsBetween(Soak* soak, int64_t least, int64_t most)
+TimeUs MsBetween(Soak* soak, int64_t min, int64_t max)
 {
-    return Between(soak, least, most) * UsPerMs;
+    return Between(soak, min, max) * UsPerMs;
 }
 
 void Later(Soak* soak, TimeUs delay, std::function<void()> run)
@@ -56,7 +56,7 @@
     return instance.Folder + "/settings.json";
 }
 
-void WriteSettings(const Soak& soak, const SoakInstance& instance, double repeat_share)
+void WriteSettings(const Soak& soak, const SoakInstance& instance, double retry_share)
 {
     Settings settings;
     settings.Instance = fmt::format("i{}", instance.Index);
@@ -67,7 +67,7 @@
     settings.DatagramPort = soak.DatagramPort;
     settings.StoreAddress = instance.ToStore.Address;
     settings.GraceUs = SoakGraceUs;
-    settings.RetryShare = repeat_share;
+    settings.RetryShare = retry_share;
     for (size_t n = 0; n < soak.Instances.size() && n < SeedsMax; n++)
     {
         settings.Peers.push_back(soak.Instances[n]->PeerAddress);
--- a/bench/soak_spared.cpp
+++ b/bench/soak_spared.cpp
@@ -13,14 +13,14 @@
 namespace Winchlink
 {
 
-static int64_t DrawWithSparedRng(Soak* soak, int64_t least, int64_t most)
+static int64_t DrawWithSignalsRng(Soak* soak, int64_t min, int64_t max)
 {
-    return std::uniform_int_distribution<int64_t>(least, most)(soak->SignalsRng);
+    return std::uniform_int_distribution<int64_t>(min, max)(soak->SignalsRng);
 }
 
-static TimeUs DrawTimeWithSparedRng(Soak* soak, int64_t least_ms, int64_t most_ms)
+static TimeUs DrawTimeWithSignalsRng(Soak* soak, int64_t min_ms, int64_t max_ms)
 {
-    return DrawWithSparedRng(soak, least_ms, most_ms) * UsPerMs;
+    return DrawWithSignalsRng(soak, min_ms, max_ms) * UsPerMs;
 }
 
 //-----------------------------------------------------------------------------
@@ -43,13 +43,13 @@
             free.push_back(target.get());
         }
     }
-    return free.empty() ? nullptr : free[static_cast<size_t>(DrawWithSparedRng(soak, 0, static_cast<int64_t>(free.size()) - 1))];
+    return free.empty() ? nullptr : free[static_cast<size_t>(DrawWithSignalsRng(soak, 0, static_cast<int64_t>(free.size()) - 1))];
 }
 
 static void SendLimit(Soak* soak, SoakTarget* target)
 {
-    const int64_t per_s = DrawWithSparedRng(soak, 1, 6);
-    const TimeUs time = DrawTimeWithSparedRng(soak, 1000, 8000);
+    const int64_t per_s = DrawWithSignalsRng(soak, 1, 6);
+    const TimeUs time = DrawTimeWithSignalsRng(soak, 1000, 8000);
     target->Part.Says = {{"Server-Limit", std::to_string(per_s)}};
     soak->Log.Limits.push_back({target->Part.Id, static_cast<double>(per_s), NowUs(), NowUs() + time});
     Later(soak, time, [target]() { target->Part.Says.clear(); });
@@ -57,8 +57,8 @@
 
 static void RefuseWithRetryAfter(Soak* soak, SoakTarget* target)
 {
-    const int64_t rest_s = DrawWithSparedRng(soak, 1, 3);
-    const TimeUs time = DrawTimeWithSparedRng(soak, 300, 3000);
+    const int64_t rest_s = DrawWithSignalsRng(soak, 1, 3);
+    const TimeUs time = DrawTimeWithSignalsRng(soak, 300, 3000);
     target->Part.Refuses = true;
     target->Part.RefusalHeaders = {{"Retry-After", std::to_string(rest_s)}};
     soak->Log.Rests.push_back({target->Part.Id, rest_s * UsPerSecond, NowUs(), NowUs() + time});
@@ -76,7 +76,7 @@
     AddTarget(soak, target->Service);
     target->Part.Says = {{"Server-Leaving", "1"}};
     soak->Log.AnnouncedDrains.push_back({target->Part.Id, NowUs()});
-    Later(soak, DrawTimeWithSparedRng(soak, 3000, 6000),
+    Later(soak, DrawTimeWithSignalsRng(soak, 3000, 6000),
           [soak, target]()
           {
               if (target->Listed && !target->Down)
@@ -108,11 +108,11 @@
     SoakTarget* target = PickWithoutSignal(soak);
     if (target != nullptr)
     {
-        const NamedFault& fault = faults[static_cast<size_t>(DrawWithSparedRng(soak, 0, faults.size() - 1))];
+        const NamedFault& fault = faults[static_cast<size_t>(DrawWithSignalsRng(soak, 0, faults.size() - 1))];
         soak->Drawn[fault.Name]++;
         fault.Run(soak, target);
     }
-    Later(soak, DrawTimeWithSparedRng(soak, 300, 2000), [soak]() { InjectSignalFaults(soak); });
+    Later(soak, DrawTimeWithSignalsRng(soak, 300, 2000), [soak]() { InjectSignalFaults(soak); });
 }
 
 void InjectSignals(Soak* soak)
--- a/tests/cold_load_test.cpp
+++ b/tests/cold_load_test.cpp
@@ -217,7 +217,7 @@
 // Returns the largest number of requests that one cold target got within any second.
 int MaxInASecond(const ColdModel& model)
 {
-    int most = 0;
+    int max = 0;
     for (const auto& entry : model.Targets)
     {
         const std::vector<TimeUs>& times = entry.second.Arrivals;
@@ -228,21 +228,21 @@
             {
                 from++;
             }
-            most = std::max(most, static_cast<int>(n - from + 1));
+            max = std::max(max, static_cast<int>(n - from + 1));
         }
     }
-    return most;
+    return max;
 }
 
 int MaxOverSeeds(const ColdPlan& plan, int seeds)
 {
-    int most = 0;
+    int max = 0;
     for (int seed = 1; seed <= seeds; seed++)
     {
         const ColdModel model = PlayCold(plan, static_cast<uint64_t>(seed));
-        most = std::max(most, MaxInASecond(model));
+        max = std::max(max, MaxInASecond(model));
     }
-    return most;
+    return max;
 }
 
 constexpr int Seeds = 8;
@@ -263,8 +263,8 @@
 
     static void CheckBound(const ColdPlan& plan)
     {
-        const int most = MaxOverSeeds(plan, Seeds);
-        CPPUNIT_ASSERT_MESSAGE(fmt::format("{} in a second", most), most <= AllowedInASecond);
+        const int max = MaxOverSeeds(plan, Seeds);
+        CPPUNIT_ASSERT_MESSAGE(fmt::format("{} in a second", max), max <= AllowedInASecond);
     }
 
     void AColdServiceStaysWithinItsRateLimit()
@@ -322,8 +322,8 @@
         ColdPlan plan;
         plan.Failing = 0.3;
         plan.Limited = false;
-        const int most = MaxOverSeeds(plan, 1);
-        CPPUNIT_ASSERT_MESSAGE(fmt::format("{} in a second", most), most > 2 * AllowedInASecond);
+        const int max = MaxOverSeeds(plan, 1);
+        CPPUNIT_ASSERT_MESSAGE(fmt::format("{} in a second", max), max > 2 * AllowedInASecond);
     }
 
     // An instance that doesn't know its share of the service's load yet sends nothing to cold targets.
--- a/tests/customers_test.cpp
+++ b/tests/customers_test.cpp
@@ -350,16 +350,16 @@
         RigWaitForPlan(&rig, instance, 1);
         CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&rig, instance, WithKey(AnnesKey)).Answer.Status);
         CPPUNIT_ASSERT_EQUAL(401, RigSendAndWait(&rig, instance, WithKey("planted-unknown-key")).Answer.Status);
-        std::string told;
+        std::string visible_text;
         for (const auto& entry : instance.Peers.Items)
         {
-            told += entry.second.Value;
+            visible_text += entry.second.Value;
         }
-        CPPUNIT_ASSERT(told.find(FormatKeyHash(HashKey(AnnesKey))) != std::string::npos);
-        told += StatusText(instance) + MetricsText(instance);
+        CPPUNIT_ASSERT(visible_text.find(FormatKeyHash(HashKey(AnnesKey))) != std::string::npos);
+        visible_text += StatusText(instance) + MetricsText(instance);
         for (const std::string& key : {AnnesKey, BensKey, std::string("planted-unknown-key")})
         {
-            CPPUNIT_ASSERT(told.find(key) == std::string::npos);
+            CPPUNIT_ASSERT(visible_text.find(key) == std::string::npos);
         }
     }
 
--- a/tests/follow_load_test.cpp
+++ b/tests/follow_load_test.cpp
@@ -177,7 +177,7 @@
     return {following.Revision, model.Now - following.FreshUs, self.Lost, self.Lost ? model.Now - self.TriedUs : 0, following.Origin};
 }
 
-void OnSourceAnswer(Model* model, size_t instance, uint64_t call, const SourceStatus& news);
+void OnSourceAnswer(Model* model, size_t instance, uint64_t call, const SourceStatus& status);
 
 void SendAnswer(Model* model, size_t server, const ModelWait& wait)
 {
@@ -193,17 +193,17 @@
     self.LinkUs = wait.Asker.FullRead ? std::max(self.LinkUs, sent) + TransferUs : self.LinkUs;
     const TimeUs there = (wait.Asker.FullRead ? self.LinkUs : sent) + OneWayUs;
     const TimeUs read = wait.Asker.FullRead ? EverythingUs : MessageUs;
-    const SourceStatus news = SourceStateOf(*model, self);
+    const SourceStatus status = SourceStateOf(*model, self);
     ScheduleAt(model, there,
-               [=]() { ScheduleAt(model, QueueWork(model, to, model->Now, read), [=]() { OnSourceAnswer(model, to, call, news); }); });
+               [=]() { ScheduleAt(model, QueueWork(model, to, model->Now, read), [=]() { OnSourceAnswer(model, to, call, status); }); });
 }
 
-void EndWaits(Model* model, size_t server, const std::function<bool(const UpdateRequest&)>& ends)
+void EndWaits(Model* model, size_t server, const std::function<bool(const UpdateRequest&)>& matches)
 {
     std::vector<ModelWait> ending;
     for (const auto& entry : model->Fleet[server].Waits)
     {
-        if (ends(entry.second.Asker))
+        if (matches(entry.second.Asker))
         {
             ending.push_back(entry.second);
         }
@@ -246,7 +246,7 @@
     AnswerLeads(model, instance);
 }
 
-void OnSourceAnswer(Model* model, size_t instance, uint64_t call, const SourceStatus& news)
+void OnSourceAnswer(Model* model, size_t instance, uint64_t call, const SourceStatus& status)
 {
     ModelInstance& self = model->Fleet[instance];
     if (self.State != ModelState_Up || self.Call != call)
@@ -256,7 +256,7 @@
     self.Call = 0;
     const uint64_t before = self.Following.Revision;
     const bool from_store = self.Following.Next.Kind == SourceKind_Store;
-    const FollowResult_ verdict = FollowAnswered(&self.Following, news, model->Now, &model->Rng);
+    const FollowResult_ verdict = FollowAnswered(&self.Following, status, model->Now, &model->Rng);
     model->SourcesLeft += verdict == FollowResult_Stale || verdict == FollowResult_Loop ? 1 : 0;
     const bool changed = self.Following.Revision > before;
     if (changed)
@@ -265,7 +265,7 @@
     }
     if (verdict == FollowResult_StoreLost)
     {
-        OnStoreLost(model, instance, model->Now - news.TriedUs);
+        OnStoreLost(model, instance, model->Now - status.TriedUs);
     }
     if (verdict == FollowResult_Good)
     {
@@ -316,14 +316,14 @@
             CallFailed(model, instance, call, false); // Ends a long poll that is in progress.
             return;
         }
-        const SourceStatus news = {StoreRevision(*model, model->Now), 0, false, 0, ""};
+        const SourceStatus status = {StoreRevision(*model, model->Now), 0, false, 0, ""};
         const TimeUs read = QueueWork(model, instance, model->Now + StoreUs, everything ? EverythingUs : MessageUs);
-        ScheduleAt(model, read, [=]() { OnSourceAnswer(model, instance, call, news); });
+        ScheduleAt(model, read, [=]() { OnSourceAnswer(model, instance, call, status); });
     };
     ScheduleAt(model, answer, answered);
 }
 
-void Serve(Model* model, size_t server, const ModelWait& wait, TimeUs most)
+void Serve(Model* model, size_t server, const ModelWait& wait, TimeUs max)
 {
     ModelInstance& self = model->Fleet[server];
     FollowAddInstance(&self.Following, wait.Asker.Address);
@@ -368,7 +368,7 @@
             SendAnswer(model, server, wait);
         }
     };
-    ScheduleAt(model, model->Now + most, over);
+    ScheduleAt(model, model->Now + max, over);
 }
 
 void CallInstance(Model* model, size_t instance, uint64_t call, const FollowStep& step)
@@ -376,7 +376,7 @@
     const Follow& following = model->Fleet[instance].Following;
     ModelWait wait{instance, call, {following.Own, following.Revision == 0, following.Revision, step.AskStore, step.StoreLost, "", false}};
     const TimeUs usual = wait.Asker.FullRead ? HoldUs : PeerWaitUs;
-    const TimeUs most = step.WaitMaxUs > 0 ? std::min(step.WaitMaxUs, usual) : usual;
+    const TimeUs max = step.WaitMaxUs > 0 ? std::min(step.WaitMaxUs, usual) : usual;
     const TimeUs margin = wait.Asker.FullRead ? 700 * UsPerMs : PeerMarginUs;
     const size_t server = InstanceAt(*model, step.Address);
     const auto arrives = [=]()
@@ -384,14 +384,14 @@
         const ModelState_ state = model->Fleet[server].State;
         if (state == ModelState_Up)
         {
-            Serve(model, server, wait, most);
+            Serve(model, server, wait, max);
             return;
         }
-        const TimeUs told = state == ModelState_Crashed ? OneWayUs : ConnectUs;
-        ScheduleAt(model, model->Now + told, [=]() { CallFailed(model, instance, call, false); });
+        const TimeUs failure_delay = state == ModelState_Crashed ? OneWayUs : ConnectUs;
+        ScheduleAt(model, model->Now + failure_delay, [=]() { CallFailed(model, instance, call, false); });
     };
     ScheduleAt(model, model->Now + 2 * OneWayUs, arrives); // Opening a connection, or one way and processing.
-    ScheduleAt(model, model->Now + most + margin, [=]() { CallFailed(model, instance, call, true); });
+    ScheduleAt(model, model->Now + max + margin, [=]() { CallFailed(model, instance, call, true); });
 }
 
 void StartCall(Model* model, size_t instance, TimeUs pause)
@@ -557,14 +557,14 @@
         model->CallsFor = {};
     }
 
-    static void CheckCalls(const Model& model, uint64_t most)
+    static void CheckCalls(const Model& model, uint64_t max)
     {
-        CPPUNIT_ASSERT_MESSAGE(DescribeCalls(model), model.StoreCalls <= most);
+        CPPUNIT_ASSERT_MESSAGE(DescribeCalls(model), model.StoreCalls <= max);
     }
 
-    static void CheckAge(TimeUs oldest, TimeUs most)
+    static void CheckAge(TimeUs oldest, TimeUs max)
     {
-        CPPUNIT_ASSERT_MESSAGE(fmt::format("{} ms old", oldest / UsPerMs), oldest <= most);
+        CPPUNIT_ASSERT_MESSAGE(fmt::format("{} ms old", oldest / UsPerMs), oldest <= max);
     }
 
     // All instances start at once, as after a power loss, and the seeds last, 0.3 s after the first. Only the seeds may read the store; the
--- a/tests/foreign_entries_test.cpp
+++ b/tests/foreign_entries_test.cpp
@@ -257,9 +257,9 @@
                                    good.insert(id);
                                }
                            }
-                           const StoreUpdates news = PlatformAdapter().Read({items, 20, true, UsPerSecond});
+                           const StoreUpdates updates = PlatformAdapter().Read({items, 20, true, UsPerSecond});
                            std::set<std::string> named;
-                           for (const TargetUpdate& target : news.Targets)
+                           for (const TargetUpdate& target : updates.Targets)
                            {
                                if (!target.Gone)
                                {
@@ -267,7 +267,7 @@
                                }
                            }
                            RC_ASSERT(named == good);
-                           RC_ASSERT(news.Invalid.size() == items.size() - good.size());
+                           RC_ASSERT(updates.Invalid.size() == items.size() - good.size());
                        });
     }
 
@@ -277,10 +277,10 @@
             R"({"at":9,"rows":[7,{"name":"a","revision":3,"row":"no"},{"name":"b","revision":4,"gone":true}]})");
         CPPUNIT_ASSERT(bool(page));
         CPPUNIT_ASSERT_EQUAL(size_t{2}, page.value().Items.size());
-        const StoreUpdates news = TableAdapter().Read({page.value().Items, 9, true, UsPerSecond});
-        CPPUNIT_ASSERT(!news.Plan);
-        CPPUNIT_ASSERT_EQUAL(std::string("a"), news.Invalid.front().Key);
-        CPPUNIT_ASSERT(news.Invalid.front().Why.Detail.find("row a") != std::string::npos);
+        const StoreUpdates updates = TableAdapter().Read({page.value().Items, 9, true, UsPerSecond});
+        CPPUNIT_ASSERT(!updates.Plan);
+        CPPUNIT_ASSERT_EQUAL(std::string("a"), updates.Invalid.front().Key);
+        CPPUNIT_ASSERT(updates.Invalid.front().Why.Detail.find("row a") != std::string::npos);
     }
 };
 
--- a/tests/fuzz/fuzz_platform.cpp
+++ b/tests/fuzz/fuzz_platform.cpp
@@ -17,12 +17,12 @@
 {
     std::vector<Winchlink::StoreItem> items = page.Items;
     items.push_back({"servers/good", GoodEntry, 9, false});
-    const Winchlink::StoreUpdates news = Winchlink::PlatformAdapter().Read({items, 9, true, 0});
+    const Winchlink::StoreUpdates updates = Winchlink::PlatformAdapter().Read({items, 9, true, 0});
     const auto is_good = [](const Winchlink::TargetUpdate& target)
     {
         return !target.Gone && target.Target.Id == "good";
     };
-    if (std::none_of(news.Targets.begin(), news.Targets.end(), is_good))
+    if (std::none_of(updates.Targets.begin(), updates.Targets.end(), is_good))
     {
         __builtin_trap();
     }
--- a/tests/gateway_faults_test.cpp
+++ b/tests/gateway_faults_test.cpp
@@ -371,12 +371,12 @@
         CPPUNIT_ASSERT(!answer->Done);
         CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return answer->Done; }));
         CPPUNIT_ASSERT_EQUAL(200, answer->Answer.Status);
-        int repeats = 0;
+        int retries = 0;
         for (const RetryBudget::Step& step : instance.Requests.Services["svc"].Retries.Counts)
         {
-            repeats += step.Retries;
+            retries += step.Retries;
         }
-        CPPUNIT_ASSERT_EQUAL(0, repeats);
+        CPPUNIT_ASSERT_EQUAL(0, retries);
     }
 
     void SendsNothingToDrainingTargets()
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -260,12 +260,12 @@
         route.TimeoutS = 25;
         RigConfigure(&rig, {route});
         const Gateway& instance = RigInstance(&rig, 1);
-        std::vector<RigAnswerPtr> held;
+        std::vector<RigAnswerPtr> pending;
         for (int n = 0; n < target.Slots; n++)
         {
             RigCall call;
             call.DeadlineMs = 30000;
-            held.push_back(RigSend(&rig, instance, call));
+            pending.push_back(RigSend(&rig, instance, call));
             CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return target.Running == n + 1; }));
         }
         const RigAnswer answer = RigSendAndWait(&rig, instance, RigCall());
@@ -466,8 +466,8 @@
     void SplitsByWeight()
     {
         Rig rig;
-        const UsersTarget& most = RigTarget(&rig, "t1");
-        const UsersTarget& few = RigTarget(&rig, "t2", "other");
+        const UsersTarget& heavy = RigTarget(&rig, "t1");
+        const UsersTarget& light = RigTarget(&rig, "t2", "other");
         UsersRoute route;
         route.Parts = {{"svc", 90}, {"other", 10}};
         RigConfigure(&rig, {route});
@@ -476,8 +476,8 @@
         {
             RigSendAndWait(&rig, instance, RigCall());
         }
-        CPPUNIT_ASSERT(most.Saw.size() >= 89 && most.Saw.size() <= 91);
-        CPPUNIT_ASSERT_EQUAL(size_t{100}, most.Saw.size() + few.Saw.size());
+        CPPUNIT_ASSERT(heavy.Saw.size() >= 89 && heavy.Saw.size() <= 91);
+        CPPUNIT_ASSERT_EQUAL(size_t{100}, heavy.Saw.size() + light.Saw.size());
     }
 
     void RequestsOfAFullPartAreRefused()
@@ -509,15 +509,15 @@
         RigConfigure(&rig, {UsersRoute()});
         Gateway& instance = RigInstance(&rig, 1);
         RawCaller idle(&rig.Loop, instance.Config.CallerAddress);
-        const RigAnswerPtr held = RigSend(&rig, instance, RigCall());
+        const RigAnswerPtr pending = RigSend(&rig, instance, RigCall());
         CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return target.Running == 1; }));
         GatewayStop(&instance);
         CPPUNIT_ASSERT_EQUAL(503, ReadyStatus(&rig, instance));
         const RigAnswer later = RigSendAndWait(&rig, instance, RigCall()); // The balancer in front hasn't removed the instance yet.
         CPPUNIT_ASSERT_EQUAL(200, later.Answer.Status);
         CPPUNIT_ASSERT_EQUAL(std::string("close"), *FindHeader(later.Answer.Headers, "Connection"));
-        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return held->Done; }));
-        CPPUNIT_ASSERT_EQUAL(200, held->Answer.Status);
+        CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return pending->Done; }));
+        CPPUNIT_ASSERT_EQUAL(200, pending->Answer.Status);
         CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return instance.Stopped; }));
         CPPUNIT_ASSERT(idle.Ended);
         CPPUNIT_ASSERT_EQUAL(0, instance.Requests.InProgress);
--- a/tests/pipeline_test.cpp
+++ b/tests/pipeline_test.cpp
@@ -167,14 +167,14 @@
             all += Get(fmt::format("n{}", n));
         }
         RawSend(caller, all);
-        int most = 0;
+        int max = 0;
         const auto answered = [&]()
         {
-            most = std::max(most, Running(setup));
+            max = std::max(max, Running(setup));
             return Answers(caller) == 9;
         };
         CPPUNIT_ASSERT(RigRunUntil(&setup.Fleet, answered));
-        CPPUNIT_ASSERT_EQUAL(3, most);
+        CPPUNIT_ASSERT_EQUAL(3, max);
     }
 
     void ADisconnectCancelsAllRequestsOfTheCaller()
--- a/tests/pool_test.cpp
+++ b/tests/pool_test.cpp
@@ -340,10 +340,10 @@
         for (const TimeUs at : counts.Repeats)
         {
             const TimeUs from = at + 1 - window;
-            const int repeats = CountIn(counts.Repeats, from, at + 1);
-            const int most = std::max({CountIn(counts.Requests, from, at + 1), CountIn(counts.Requests, from - window, from),
-                                       CountIn(counts.Requests, from - window / 2, from + window / 2)});
-            RC_ASSERT(repeats <= 0.2 * most + allowed_extra);
+            const int retries = CountIn(counts.Repeats, from, at + 1);
+            const int max = std::max({CountIn(counts.Requests, from, at + 1), CountIn(counts.Requests, from - window, from),
+                                      CountIn(counts.Requests, from - window / 2, from + window / 2)});
+            RC_ASSERT(retries <= 0.2 * max + allowed_extra);
         }
     }
 
--- a/tests/quarantine_fleet.h
+++ b/tests/quarantine_fleet.h
@@ -43,13 +43,13 @@
     }
 
     // Starts another incarnation of a target.
-    void RestartTarget(const std::string& id, uint64_t life)
+    void RestartTarget(const std::string& id, uint64_t incarnation)
     {
         Parts.Targets.push_back(std::make_unique<UsersTarget>());
         UsersTarget& target = *Parts.Targets.back();
         CPPUNIT_ASSERT(UsersTargetStart(&target, &Parts.Loop, id, FreeAddress()));
         target.CrashPrefix = CrashingPath;
-        UsersStoreTarget(&Parts.Store, id, "svc", target.Address, "dc-a", false, 0, life);
+        UsersStoreTarget(&Parts.Store, id, "svc", target.Address, "dc-a", false, 0, incarnation);
     }
 
     Gateway& AddInstance()
--- a/tests/quarantine_load_test.cpp
+++ b/tests/quarantine_load_test.cpp
@@ -127,9 +127,9 @@
     uint64_t NextLife = 1;
     uint64_t NextWork = 1;
 
-    TimeUs Between(TimeUs least, TimeUs most)
+    TimeUs Between(TimeUs min, TimeUs max)
     {
-        return std::uniform_int_distribution<TimeUs>(least, most)(Rng);
+        return std::uniform_int_distribution<TimeUs>(min, max)(Rng);
     }
 
     void Schedule(TimeUs after, std::function<void()> run)
@@ -212,51 +212,51 @@
     void Crash(Target* target)
     {
         const std::vector<std::pair<uint64_t, Work>> lost = std::exchange(target->InProgress, {});
-        const uint64_t life = std::exchange(target->Life, NextLife++);
+        const uint64_t incarnation = std::exchange(target->Life, NextLife++);
         target->BackAtUs = Now + RestartUs;
         if (Setting.Silently)
         {
-            StopAnswering(lost, life);
+            StopAnswering(lost, incarnation);
             return;
         }
         for (const auto& [id, work] : lost)
         {
-            Schedule(DetectUs, [this, work = work, life]() { AddCrash(work, life); });
+            Schedule(DetectUs, [this, work = work, incarnation]() { AddCrash(work, incarnation); });
         }
     }
 
-    void StopAnswering(const std::vector<std::pair<uint64_t, Work>>& lost, uint64_t life)
+    void StopAnswering(const std::vector<std::pair<uint64_t, Work>>& lost, uint64_t incarnation)
     {
         for (const auto& [id, work] : lost)
         {
-            Schedule(work.SentUs + DeadlineUs - Now, [this, work = work, life]() { OnAttemptTimeout(work, life); });
+            Schedule(work.SentUs + DeadlineUs - Now, [this, work = work, incarnation]() { OnAttemptTimeout(work, incarnation); });
         }
-        Schedule(EntryLapseUs, [this, life]() { OnEntryMissing(life); });
+        Schedule(EntryLapseUs, [this, incarnation]() { OnEntryMissing(incarnation); });
     }
 
-    void OnAttemptTimeout(const Work& work, uint64_t life)
+    void OnAttemptTimeout(const Work& work, uint64_t incarnation)
     {
-        if (SilentCrashesAddAttempt(&Silent[work.Instance], {work.Key, TargetIncarnation("t", life), work.SentUs}, Now))
+        if (SilentCrashesAddAttempt(&Silent[work.Instance], {work.Key, TargetIncarnation("t", incarnation), work.SentUs}, Now))
         {
-            AddCrash(work, life);
+            AddCrash(work, incarnation);
         }
     }
 
-    void OnEntryMissing(uint64_t life)
+    void OnEntryMissing(uint64_t incarnation)
     {
         for (size_t n = 0; n < Silent.size(); n++)
         {
-            for (const UnansweredAttempt& attempt : SilentCrashesAddTarget(&Silent[n], TargetIncarnation("t", life), Now))
+            for (const UnansweredAttempt& attempt : SilentCrashesAddTarget(&Silent[n], TargetIncarnation("t", incarnation), Now))
             {
-                AddCrash({attempt.Request, n, false}, life);
+                AddCrash({attempt.Request, n, false}, incarnation);
             }
         }
     }
 
-    void AddCrash(const Work& work, uint64_t life)
+    void AddCrash(const Work& work, uint64_t incarnation)
     {
         if (Setting.Rule != QuarantineRule_None &&
-            QuarantineAddCrash(&Instances[work.Instance], work.Key, TargetIncarnation("t", life), Now))
+            QuarantineAddCrash(&Instances[work.Instance], work.Key, TargetIncarnation("t", incarnation), Now))
         {
             SendUpdates(work.Instance);
         }
@@ -268,13 +268,13 @@
         {
             return;
         }
-        const std::vector<TargetCrashUpdate> news = QuarantineExport(Instances[from], Now);
+        const std::vector<TargetCrashUpdate> updates = QuarantineExport(Instances[from], Now);
         Schedule(SpreadUs,
-                 [this, news]()
+                 [this, updates]()
                  {
                      for (Quarantine& other : Instances)
                      {
-                         QuarantineMerge(&other, news, Now);
+                         QuarantineMerge(&other, updates, Now);
                      }
                  });
     }
--- a/tests/quarantine_test.cpp
+++ b/tests/quarantine_test.cpp
@@ -145,10 +145,10 @@
         for (int n = 0; n < 3; n++)
         {
             CPPUNIT_ASSERT_EQUAL(502, fleet.SendCrashingCall(*fleet.Instances[0]).Answer.Status);
-            const uint64_t life = 1000 + static_cast<uint64_t>(n);
-            fleet.RestartTarget("t1", life);
+            const uint64_t incarnation = 1000 + static_cast<uint64_t>(n);
+            fleet.RestartTarget("t1", incarnation);
             const TargetDirectory& directory = fleet.Instances[0]->Requests.Directory;
-            CPPUNIT_ASSERT(RigRunUntil(&fleet.Parts, [&]() { return directory.Targets.at("t1").Incarnation == life; }));
+            CPPUNIT_ASSERT(RigRunUntil(&fleet.Parts, [&]() { return directory.Targets.at("t1").Incarnation == incarnation; }));
         }
         CPPUNIT_ASSERT_EQUAL(503, fleet.SendCrashingCall(*fleet.Instances[0]).Answer.Status);
     }
@@ -244,12 +244,12 @@
                                    QuarantineClear(&source, request);
                                }
                            }
-                           std::vector<TargetCrashUpdate> news = QuarantineExport(source, now);
+                           std::vector<TargetCrashUpdate> updates = QuarantineExport(source, now);
                            Quarantine all;
-                           QuarantineMerge(&all, news, now);
+                           QuarantineMerge(&all, updates, now);
                            Quarantine parts;
-                           std::reverse(news.begin(), news.end());
-                           for (const TargetCrashUpdate& one : news)
+                           std::reverse(updates.begin(), updates.end());
+                           for (const TargetCrashUpdate& one : updates)
                            {
                                QuarantineMerge(&parts, {one}, now);
                                QuarantineMerge(&parts, {one}, now);
--- a/tests/quota_load_test.cpp
+++ b/tests/quota_load_test.cpp
@@ -48,14 +48,14 @@
     }
 }
 
-static void CheckServed(QuotaFleet* fleet, double least, const std::string& what)
+static void CheckServed(QuotaFleet* fleet, double min, const std::string& what)
 {
     for (QuotaFleetCustomer& load : fleet->Loads)
     {
         const double rate = fleet->All.List[load.Index].RatePerS;
         const double served = QuotaFleetServed(&load);
         CPPUNIT_ASSERT_MESSAGE(fmt::format("{}: {:.3f} of the requests of a customer with {} a second served", what, served, rate),
-                               served >= least);
+                               served >= min);
     }
 }
 
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -446,12 +446,12 @@
             RigWaitForPlan(&rig, *followers.back(), 1);
         }
         UsersStoreSetMode(&rig.Store, StoreMode_Refusing);
-        const auto all_told = [&]()
+        const auto all_notified = [&]()
         {
             return std::all_of(followers.begin(), followers.end(),
                                [](const Gateway* each) { return each->Requests.Directory.StoreUnavailable; });
         };
-        CPPUNIT_ASSERT(RigRunUntil(&rig, all_told));
+        CPPUNIT_ASSERT(RigRunUntil(&rig, all_notified));
         const int calls = rig.Store.Calls;
         RigRunFor(&rig, 3 * UsPerSecond);
         CPPUNIT_ASSERT(rig.Store.Calls - calls <= 16); // Twelve followers that call once a second would make 36.
--- a/tests/returns_test.cpp
+++ b/tests/returns_test.cpp
@@ -29,16 +29,16 @@
 
 static int MaxInOneSecond(const std::vector<TimeUs>& retry_times)
 {
-    int most = 0;
+    int max = 0;
     for (const TimeUs from : retry_times)
     {
         const auto within = [from](TimeUs retry_time)
         {
             return retry_time >= from && retry_time < from + UsPerSecond;
         };
-        most = std::max(most, static_cast<int>(std::count_if(retry_times.begin(), retry_times.end(), within)));
+        max = std::max(max, static_cast<int>(std::count_if(retry_times.begin(), retry_times.end(), within)));
     }
-    return most;
+    return max;
 }
 
 class ReturnsTest : public CPPUNIT_NS::TestFixture
--- a/tests/store_reader_test.cpp
+++ b/tests/store_reader_test.cpp
@@ -145,8 +145,8 @@
             CPPUNIT_ASSERT_MESSAGE(unreadable, read.has_value() && read.value().Items.size() == 1);
             CPPUNIT_ASSERT_EQUAL_MESSAGE(unreadable, uint64_t{7}, read.value().Items[0].Revision);
             CPPUNIT_ASSERT_MESSAGE(unreadable, read.value().Items[0].Value.empty() && !read.value().Items[0].Gone);
-            const StoreUpdates news = PlatformAdapter().Read({read.value().Items, read.value().Revision, true, 0});
-            CPPUNIT_ASSERT_MESSAGE(unreadable, news.Invalid.size() == 1 && news.Targets.size() == 1 && news.Targets[0].Gone);
+            const StoreUpdates updates = PlatformAdapter().Read({read.value().Items, read.value().Revision, true, 0});
+            CPPUNIT_ASSERT_MESSAGE(unreadable, updates.Invalid.size() == 1 && updates.Targets.size() == 1 && updates.Targets[0].Gone);
         }
         CPPUNIT_ASSERT_EQUAL(std::string("/kv-watch?pathPrefix=&after=7&waitMs=5000"), dialect.ChangesTarget(7, 5 * UsPerSecond));
         CPPUNIT_ASSERT_EQUAL(std::string("/kv-range?pathPrefix=&after=servers%2Fi%2D1"), dialect.PageTarget("servers/i-1"));
--- a/tests/table_adapter_test.cpp
+++ b/tests/table_adapter_test.cpp
@@ -273,8 +273,8 @@
         misnamed.Key = "a";
         misnamed.Value = FormatRow(MakeRow("b"));
         misnamed.Revision = 1;
-        const StoreUpdates news = TableAdapter().Read({{misnamed}, 1, true, 0});
-        CPPUNIT_ASSERT(!news.Plan && news.Invalid.size() == 1);
+        const StoreUpdates updates = TableAdapter().Read({{misnamed}, 1, true, 0});
+        CPPUNIT_ASSERT(!updates.Plan && updates.Invalid.size() == 1);
     }
 
     void WeightsDecideWhichTargetIsTriedFirst()
--- a/tests/target_backoff_test.cpp
+++ b/tests/target_backoff_test.cpp
@@ -75,13 +75,13 @@
         CPPUNIT_ASSERT_MESSAGE(text, LateArrivals(refusing) <= LateArrivalsMax);
     }
 
-    static void CheckRefused(Rig* rig, const Gateway& instance, double least_s)
+    static void CheckRefused(Rig* rig, const Gateway& instance, double min_s)
     {
         const RigAnswer answer = RigSendAndWait(rig, instance, RigCall());
         CPPUNIT_ASSERT_EQUAL(503, answer.Answer.Status);
         CPPUNIT_ASSERT_EQUAL(std::string("2017"), *FindHeader(answer.Answer.Headers, HeaderCode));
         CPPUNIT_ASSERT_EQUAL(0, RigRunCount(*rig, answer.Id));
-        CPPUNIT_ASSERT(std::stod(*FindHeader(answer.Answer.Headers, "Retry-After")) >= least_s);
+        CPPUNIT_ASSERT(std::stod(*FindHeader(answer.Answer.Headers, "Retry-After")) >= min_s);
     }
 
     // The target is not probed either. Retry-After for callers follows from the backoff, capped to the time that callers wait.
@@ -158,7 +158,7 @@
         TargetPool pool;
         TimeUs now = UsPerSecond;
         std::map<std::string, TimeUs> backoff_until; // By incarnation.
-        std::vector<uint64_t> lives(ids, 1);
+        std::vector<uint64_t> incarnations(ids, 1);
         for (int step = 0; step < 200; step++)
         {
             now += dice->Between(0, 300) * UsPerMs;
@@ -169,14 +169,14 @@
             case 0:
             {
                 const TimeUs until = now + dice->Between(0, 3000) * UsPerMs;
-                TimeUs& known = backoff_until[TargetIncarnation(id, lives[n])];
+                TimeUs& known = backoff_until[TargetIncarnation(id, incarnations[n])];
                 known = std::max(known, until);
-                PoolBackOff(&pool, id, lives[n], until, now);
+                PoolBackOff(&pool, id, incarnations[n], until, now);
                 break;
             }
             case 1:
-                lives[n] += dice->OneIn(4) ? 1 : 0;
-                UpdatePool(&pool, lives, dice);
+                incarnations[n] += dice->OneIn(4) ? 1 : 0;
+                UpdatePool(&pool, incarnations, dice);
                 break;
             case 2:
                 Answer(&pool, id, forget);
@@ -194,14 +194,14 @@
         return true;
     }
 
-    static void UpdatePool(TargetPool* pool, const std::vector<uint64_t>& lives, TestRandom* dice)
+    static void UpdatePool(TargetPool* pool, const std::vector<uint64_t>& incarnations, TestRandom* dice)
     {
         std::vector<DirectoryTarget> listed;
-        for (size_t n = 0; n < lives.size(); n++)
+        for (size_t n = 0; n < incarnations.size(); n++)
         {
             DirectoryTarget target;
             target.Id = "t" + std::to_string(n);
-            target.Incarnation = lives[n];
+            target.Incarnation = incarnations[n];
             target.Slots = 3;
             target.Presence = dice->OneIn(5) ? Presence_Draining : dice->OneIn(5) ? Presence_Missing : Presence_Ready;
             listed.push_back(target);
--- a/tests/target_limit_test.cpp
+++ b/tests/target_limit_test.cpp
@@ -22,7 +22,7 @@
 // Maximum number of arrivals in any window.
 static size_t MaxInWindow(const std::vector<TimeUs>& arrivals)
 {
-    size_t most = 0;
+    size_t max = 0;
     size_t first = 0;
     for (size_t n = 0; n < arrivals.size(); n++)
     {
@@ -30,9 +30,9 @@
         {
             first++;
         }
-        most = std::max(most, n - first + 1);
+        max = std::max(max, n - first + 1);
     }
-    return most;
+    return max;
 }
 
 // Starts instances with addresses of their own on this machine; the first one is the seed.
@@ -93,15 +93,15 @@
         RigConfigure(&rig, {UsersRoute()});
         const std::vector<const Gateway*> fleet = StartFleet(&rig, 6, 2);
         Load(&rig, fleet, 60, 6 * UsPerSecond);
-        const size_t most = MaxInWindow(limited.Arrivals);
-        const std::string text = fmt::format("{} in a window, {} allowed", most, AllowedInWindow(limit));
-        CPPUNIT_ASSERT_MESSAGE(text, static_cast<double>(most) <= AllowedInWindow(limit));
+        const size_t max = MaxInWindow(limited.Arrivals);
+        const std::string text = fmt::format("{} in a window, {} allowed", max, AllowedInWindow(limit));
+        CPPUNIT_ASSERT_MESSAGE(text, static_cast<double>(max) <= AllowedInWindow(limit));
     }
 
     static void CheckKept(const UsersTarget& target, double limit)
     {
-        const size_t most = MaxInWindow(target.Arrivals);
-        CPPUNIT_ASSERT_MESSAGE(fmt::format("{} in a window", most), static_cast<double>(most) <= AllowedInWindow(limit));
+        const size_t max = MaxInWindow(target.Arrivals);
+        CPPUNIT_ASSERT_MESSAGE(fmt::format("{} in a window", max), static_cast<double>(max) <= AllowedInWindow(limit));
     }
 
     void CallersAreRefusedAtOnceIfAllTargetsAreAtTheirLimits()
--- a/tests/target_lives_test.cpp
+++ b/tests/target_lives_test.cpp
@@ -22,12 +22,12 @@
     }
 
     // Starts an incarnation of target "t1" and writes its entry to the store.
-    UsersTarget& Start(uint64_t life, const std::string& address = FreeAddress())
+    UsersTarget& Start(uint64_t incarnation, const std::string& address = FreeAddress())
     {
         Parts.Targets.push_back(std::make_unique<UsersTarget>());
         UsersTarget& target = *Parts.Targets.back();
         CPPUNIT_ASSERT(UsersTargetStart(&target, &Parts.Loop, "t1", address));
-        UsersStoreTarget(&Parts.Store, "t1", "svc", target.Address, "dc-a", false, 0, life);
+        UsersStoreTarget(&Parts.Store, "t1", "svc", target.Address, "dc-a", false, 0, incarnation);
         return target;
     }
 
@@ -41,9 +41,9 @@
         return PoolFind(&Instance->Requests.Services.at("svc").Pool, "t1");
     }
 
-    void Await(uint64_t life)
+    void Await(uint64_t incarnation)
     {
-        CPPUNIT_ASSERT(RigRunUntil(&Parts, [&]() { return Known() != nullptr && Known()->Incarnation == life; }));
+        CPPUNIT_ASSERT(RigRunUntil(&Parts, [&]() { return Known() != nullptr && Known()->Incarnation == incarnation; }));
     }
 };
 
@@ -241,19 +241,19 @@
         follower_settings.StoreAddress = FreeAddress(); // It can't reach the store either.
         Gateway& follower = RigStartWith(&setting.Parts, follower_settings);
         RigWaitForPlan(&setting.Parts, follower, 1);
-        const auto life_at = [](const Gateway& gateway)
+        const auto incarnation_at = [](const Gateway& gateway)
         {
             return gateway.Requests.Directory.Targets.at("t1").Incarnation;
         };
         ListenerStop(&reader.Peers.Server);
         setting.Start(700);
-        CPPUNIT_ASSERT(RigRunUntil(&setting.Parts, [&]() { return life_at(reader) == 700; }));
+        CPPUNIT_ASSERT(RigRunUntil(&setting.Parts, [&]() { return incarnation_at(reader) == 700; }));
         RigRunFor(&setting.Parts, UsPerSecond);
-        CPPUNIT_ASSERT_EQUAL(uint64_t{1000}, life_at(follower));
+        CPPUNIT_ASSERT_EQUAL(uint64_t{1000}, incarnation_at(follower));
         CPPUNIT_ASSERT(bool(RelayStart(&reader.Peers, &setting.Parts.Loop, &reader.Rng, reader_settings.PeerAddress)));
-        CPPUNIT_ASSERT(RigRunUntil(&setting.Parts, [&]() { return life_at(follower) == 700; }));
+        CPPUNIT_ASSERT(RigRunUntil(&setting.Parts, [&]() { return incarnation_at(follower) == 700; }));
         RigRunFor(&setting.Parts, 300 * UsPerMs);
-        CPPUNIT_ASSERT_EQUAL(uint64_t{700}, life_at(reader));
+        CPPUNIT_ASSERT_EQUAL(uint64_t{700}, incarnation_at(reader));
         CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&setting.Parts, follower, RigCall()).Answer.Status);
     }
 };
--- a/tests/two_slot_load_test.cpp
+++ b/tests/two_slot_load_test.cpp
@@ -170,13 +170,13 @@
     CPPUNIT_TEST(RejectsSlowTargets);
     CPPUNIT_TEST_SUITE_END();
 
-    static void CheckBetter(const TwoSlotPlan& plan, double refused_most, double in_time_least)
+    static void CheckBetter(const TwoSlotPlan& plan, double refused_max, double in_time_min)
     {
         const TwoSlotResult result = PlayTwoSlots(plan);
         const TwoSlotResult strict = PlayTwoSlots(WithStrictCost(plan));
         const std::string text = TextOf(result) + "; strict: " + TextOf(strict);
-        CPPUNIT_ASSERT_MESSAGE(text, ShareOf(result.Refused, result) <= refused_most);
-        CPPUNIT_ASSERT_MESSAGE(text, ShareOf(result.InTime, result) >= in_time_least);
+        CPPUNIT_ASSERT_MESSAGE(text, ShareOf(result.Refused, result) <= refused_max);
+        CPPUNIT_ASSERT_MESSAGE(text, ShareOf(result.InTime, result) >= in_time_min);
         CPPUNIT_ASSERT_MESSAGE(text, ShareOf(result.InTime, result) > ShareOf(strict.InTime, strict));
         CPPUNIT_ASSERT_MESSAGE(text, result.Refused < strict.Refused);
     }
