--- a/bench/fleet.h
+++ b/bench/fleet.h
@@ -128,7 +128,7 @@
     double P50Ms = 0;   // Quantiles of the good requests.
     double P99Ms = 0;
     double P999Ms = 0;
-    double P99AllMs = 0; // Of all requests; one that is not good counts with at least its deadline, so that fast failures do not lower it.
+    double P99AllMs = 0; // Of all requests; those that are not good count with at least their deadline.
 };
 
 // Summarizes the records of one kind, or of all kinds if `kind` is negative.
--- a/bench/soak.cpp
+++ b/bench/soak.cpp
@@ -127,7 +127,7 @@
     }
 }
 
-static void Play(Soak* soak)
+static void RunFaults(Soak* soak)
 {
     RunFor(soak, UsPerSecond); // Time for the instances to start.
     for (int n = 0; n < soak->Plan.Callers; n++)
@@ -163,7 +163,7 @@
     {
         return std::nullopt;
     }
-    Play(&soak);
+    RunFaults(&soak);
     for (const auto& instance : soak.Instances)
     {
         if (instance->Pid > 0)
--- a/bench/soak_audit.h
+++ b/bench/soak_audit.h
@@ -133,16 +133,16 @@
     double ColdMaxPerS = 2.5 * 1.5 + 8;     // Maximum arrivals at a cold target in any second, from all instances.
     TimeUs UndisruptedUs = 3 * UsPerSecond; // An instance is checked only after so long without a disruption.
     TimeUs HeardUs = 500 * UsPerMs;         // Time after which requests sent before an answer was received have arrived.
-    TimeUs LimitApplyUs = 3 * UsPerSecond;  // A rate limit is checked so long after it was first sent:
-    TimeUs LimitWindowUs = 4 * UsPerSecond; // in any window of this length, arrivals are at most
-    double LimitOverage = 1.5;              // the limit times this factor,
+    TimeUs LimitApplyUs = 3 * UsPerSecond;  // Time after a rate limit was first sent from which it is checked.
+    TimeUs LimitWindowUs = 4 * UsPerSecond; // Length of the windows over which rate limits are checked.
+    double LimitOverage = 1.5;              // Maximum arrivals in a window: the limit times this factor,
     double LimitSlack = 5;                  // plus this number.
     size_t RetryAfterArrivalsMax = 2;       // Maximum arrivals from one instance within the Retry-After time of a refusal.
     TimeUs WindowUs = 10 * UsPerSecond;     // Window of the retry budget.
     double RepeatShare = 0.2;               // Maximum share of retries in the first attempts of a window.
     int RepeatExtra = 2;                    // Further retries per instance and service.
-    size_t EndsMost = 3;         // Crashes after which a path is quarantined; maximum arrivals later than UndisruptedUs after that.
-    double RecoveryShare = 0.95; // Minimum share of successes among the requests sent after all faults.
+    size_t EndsMost = 3;                    // Crashes until a path is quarantined; maximum arrivals later than UndisruptedUs after that.
+    double RecoveryShare = 0.95;            // Minimum share of successes among the requests sent after all faults.
 };
 
 // One line for each kind of breach, with the number of breaches and the first request or target.
--- a/bench/users_store.cpp
+++ b/bench/users_store.cpp
@@ -16,7 +16,7 @@
 namespace Winchlink
 {
 
-static constexpr TimeUs WaitMostUs = 30 * UsPerSecond;
+static constexpr TimeUs WaitMaxUs = 30 * UsPerSecond;
 
 //-----------------------------------------------------------------------------
 // [SECTION] Answers
@@ -181,7 +181,7 @@
     UsersWait& waiting = store->Waits[id];
     waiting.From = call;
     waiting.After = after;
-    waiting.End = TimerStart(store->Loop, std::min(wait, WaitMostUs), [store, id]() { OnWaitOver(store, id); });
+    waiting.End = TimerStart(store->Loop, std::min(wait, WaitMaxUs), [store, id]() { OnWaitOver(store, id); });
     call->OnGone = [store, id]()
     {
         store->Waits.erase(id);
--- a/tests/cold_load_test.cpp
+++ b/tests/cold_load_test.cpp
@@ -3,8 +3,8 @@
 // Guards against overloading targets during warm-up: all instances together must keep within the rate limit of each cold target, also when
 // a whole service starts cold under full load, when cold targets fail at once (and so look idle) and when callers cancel their requests.
 //
-// The targets are chosen by TargetPool. A cold target takes 2.5 requests a second, and at most half as many more plus 8 in any second. It
-// is cold for 3 s and takes twice as long meanwhile. A request arrives 1 to 5 ms after its target was chosen.
+// The targets are chosen by TargetPool. A cold target takes 2.5 requests a second, and at most 1.5 times that number plus 8 in any second.
+// It is cold for 3 s and takes twice as long meanwhile. A request arrives 1 to 5 ms after its target was chosen.
 
 #include "pool_model.h"
 
@@ -30,7 +30,7 @@
     double Failing = 0;             // Share of the targets that fail every request at once while cold.
     double Cancelled = 0;           // Share of the requests that are cancelled after 20 ms.
     bool AllCold = true;            // False: only the first quarter of the targets.
-    bool Limited = true;            // False: instances don't know the limit of cold targets (planted fault).
+    bool Limited = true;            // False: instances don't know the limit of cold targets (injected fault).
 };
 
 struct ColdTarget
@@ -164,7 +164,7 @@
     }
 }
 
-void Play(ColdModel* model, double seconds, double rate)
+void RunLoad(ColdModel* model, double seconds, double rate)
 {
     const TimeUs end = model->Now + static_cast<TimeUs>(seconds * UsPerSecond);
     std::exponential_distribution<double> pause(rate);
@@ -185,8 +185,8 @@
     }
 }
 
-// Plays 5 s of normal load, then makes targets cold at once and plays 3 s of three times that load.
-ColdModel PlayCold(const ColdPlan& plan, uint64_t seed)
+// Simulates 5 s of normal load, then makes targets cold at once and simulates 3 s of three times that load.
+ColdModel SimulateCold(const ColdPlan& plan, uint64_t seed)
 {
     ColdModel model;
     model.Plan = plan;
@@ -201,7 +201,7 @@
         target.Listed.Slots = 2;
     }
     FollowListed(&model);
-    Play(&model, 5, plan.RequestsPerSecond);
+    RunLoad(&model, 5, plan.RequestsPerSecond);
     int n = 0;
     for (auto& entry : model.Targets)
     {
@@ -210,7 +210,7 @@
         entry.second.Fails = Chance(&model, plan.Failing);
     }
     FollowListed(&model);
-    Play(&model, 3, 3 * plan.RequestsPerSecond);
+    RunLoad(&model, 3, 3 * plan.RequestsPerSecond);
     return model;
 }
 
@@ -239,7 +239,7 @@
     int max = 0;
     for (int seed = 1; seed <= seeds; seed++)
     {
-        const ColdModel model = PlayCold(plan, static_cast<uint64_t>(seed));
+        const ColdModel model = SimulateCold(plan, static_cast<uint64_t>(seed));
         max = std::max(max, MaxInASecond(model));
     }
     return max;
@@ -304,14 +304,14 @@
         ColdPlan plan;
         plan.AllCold = false;
         plan.RequestsPerSecond = 60;
-        const ColdModel model = PlayCold(plan, 1);
+        const ColdModel model = SimulateCold(plan, 1);
         CPPUNIT_ASSERT_MESSAGE(fmt::format("{} of {}", model.SentCold, model.Sent), model.SentCold * 50 <= model.Sent);
     }
 
     // Cold targets together get at least a fifth of the requests that their limit allows.
     void ColdTargetsGetSomeRequests()
     {
-        const ColdModel model = PlayCold(ColdPlan(), 1);
+        const ColdModel model = SimulateCold(ColdPlan(), 1);
         const double allowed = ColdPerS * 3 * 37;
         CPPUNIT_ASSERT_MESSAGE(fmt::format("{} of {}", model.SentCold, allowed),
                                model.SentCold > 0.2 * allowed && model.SentCold < 1.5 * allowed);
--- a/tests/directory_test.cpp
+++ b/tests/directory_test.cpp
@@ -1,5 +1,5 @@
 // directory_test.cpp: the target directory compared with a simple model, and the removal of missing entries. Guards against reordered or
-// repeated updates that leave the directory in a state other than the store's.
+// duplicate updates that leave the directory in a state other than the store's.
 
 #include "check.h"
 
--- a/tests/fanout_load_test.cpp
+++ b/tests/fanout_load_test.cpp
@@ -15,7 +15,7 @@
     Fanout Spread;
     std::string Address;
     std::string DataCentre;
-    int Follows = -1; // Index of its source; -1 if it reads the store.
+    int Source = -1; // Index of its source; -1 if it reads the store.
     std::vector<int> Followers;
 };
 
@@ -82,7 +82,7 @@
             FanoutDecide(&holder.Spread, asker, HolderFor(*fleet, holder, self.DataCentre), fleet->Now, &fleet->Rng);
         if (answer.Action != UpdateAction_Redirect)
         {
-            self.Follows = at;
+            self.Source = at;
             holder.Followers.push_back(instance);
             return calls;
         }
@@ -106,7 +106,7 @@
     int remote = 0;
     for (const FanoutInstance& one : fleet.Instances)
     {
-        const bool is_remote = one.Follows >= 0 && fleet.Instances[static_cast<size_t>(one.Follows)].DataCentre != one.DataCentre;
+        const bool is_remote = one.Source >= 0 && fleet.Instances[static_cast<size_t>(one.Source)].DataCentre != one.DataCentre;
         remote += is_remote ? 1 : 0;
     }
     return remote;
--- a/tests/follow_load_test.cpp
+++ b/tests/follow_load_test.cpp
@@ -56,8 +56,8 @@
     std::map<uint64_t, ModelWait> Waits; // Held calls of followers, by call id.
     bool Lost = false;                   // The store can't be reached.
     TimeUs TriedUs = 0;
-    TimeUs ToldUs = 0;
-    TimeUs ToldFreshUs = 0;
+    TimeUs NotifiedUs = 0;
+    TimeUs NotifiedFreshUs = 0;
     TimeUs LinkUs = 0; // The link is busy until then.
     TimeUs BusyUs = 0; // The processor is busy until then.
 };
@@ -80,16 +80,18 @@
     uint64_t LastCall = 0;
     std::priority_queue<Event, std::vector<Event>, Later> Events;
     std::vector<ModelInstance> Fleet;
+    // Whether the store refuses calls of the instance.
     std::function<bool(size_t instance, TimeUs now)> Refuses = [](size_t, TimeUs)
     {
         return false;
-    };                             // Whether the store refuses calls of the instance.
+    };
     TimeUs EditUs = 500 * UsPerMs; // Interval between changes in the store.
     uint64_t SourcesLeft = 0;      // Times that a source was left because it was behind or had its data from the follower itself.
+    // Whether the store leaves calls of the instance unanswered.
     std::function<bool(size_t instance)> SilentTo = [](size_t)
     {
         return false;
-    };                   // Whether the store leaves calls of the instance unanswered.
+    };
     bool Silent = false; // The store answers no call.
     uint64_t StoreCalls = 0;
     std::array<uint64_t, StoreReason_COUNT> CallsFor = {};
@@ -218,8 +220,8 @@
 void AnswerFollowers(Model* model, size_t server)
 {
     ModelInstance& self = model->Fleet[server];
-    self.ToldUs = model->Now;
-    self.ToldFreshUs = self.Following.FreshUs;
+    self.NotifiedUs = model->Now;
+    self.NotifiedFreshUs = self.Following.FreshUs;
     const bool knows = self.Following.Revision != 0;
     EndWaits(model, server, [knows](const UpdateRequest& asker) { return !asker.AskStore && (knows || !asker.FullRead); });
 }
@@ -232,7 +234,7 @@
 void OnStoreLost(Model* model, size_t instance, TimeUs tried)
 {
     ModelInstance& self = model->Fleet[instance];
-    const bool tell = !self.Lost || model->Now >= self.ToldUs + BeatUs;
+    const bool tell = !self.Lost || model->Now >= self.NotifiedUs + BeatUs;
     self.Lost = true;
     self.TriedUs = std::max(self.TriedUs, tried);
     if (self.Following.Revision == 0)
@@ -271,7 +273,7 @@
     {
         const bool found = self.Lost;
         self.Lost = false;
-        if (found || self.Following.FreshUs >= self.ToldFreshUs + BeatUs)
+        if (found || self.Following.FreshUs >= self.NotifiedFreshUs + BeatUs)
         {
             AnswerFollowers(model, instance);
         }
--- a/tests/pool_load_test.cpp
+++ b/tests/pool_load_test.cpp
@@ -98,7 +98,7 @@
     target->InFlight--; // InFlight isn't modelled.
 }
 
-void Play(PoolModel* model, double seconds)
+void RunLoad(PoolModel* model, double seconds)
 {
     const TimeUs end = model->Now + static_cast<TimeUs>(seconds * UsPerSecond);
     std::exponential_distribution<double> pause(InstanceCount * RequestsPerSecond);
@@ -128,7 +128,7 @@
             List(&model, fmt::format("old-{}", n));
         }
         FollowListed(&model);
-        Play(&model, 10);
+        RunLoad(&model, 10);
         CPPUNIT_ASSERT_EQUAL(0, model.Refused);
         for (int n = 0; n < joining; n++)
         {
@@ -139,13 +139,13 @@
         model.Requests = 0;
         model.SentProbes = 0;
         model.Served.clear();
-        Play(&model, 2);
+        RunLoad(&model, 2);
         for (int n = 0; n < joining; n++)
         {
             const std::string id = fmt::format("new-{}", n);
             CPPUNIT_ASSERT_MESSAGE(id, model.Served[id] > 0);
         }
-        Play(&model, 10);
+        RunLoad(&model, 10);
         CPPUNIT_ASSERT_MESSAGE(fmt::format("{} of {} refused", model.Refused, model.Requests), model.Refused * 100 <= model.Requests);
         CPPUNIT_ASSERT_MESSAGE(fmt::format("{} probes for {} requests", model.SentProbes, model.Requests),
                                model.SentProbes <= 3 * model.Requests);
--- a/tests/pool_test.cpp
+++ b/tests/pool_test.cpp
@@ -32,7 +32,7 @@
 struct FleetCounts
 {
     std::vector<TimeUs> Requests;
-    std::vector<TimeUs> Repeats;
+    std::vector<TimeUs> Retries;
 };
 
 static int CountIn(const std::vector<TimeUs>& times, TimeUs from, TimeUs to)
@@ -314,7 +314,7 @@
     }
 
     // Each instance's budget counts only its own requests; the limit applies to the sum over the fleet.
-    static void PlayFleet(bool unlimited)
+    static void SimulateFleet(bool unlimited)
     {
         TestRandom dice;
         const auto instances = static_cast<size_t>(dice.Between(1, 30));
@@ -332,15 +332,15 @@
             counts.Requests.push_back(now);
             if (dice.OneIn(2) && (RetryBudgetTake(&budget, dice.OneIn(2) ? 1.0 : 0.5, now) || unlimited))
             {
-                counts.Repeats.push_back(now);
+                counts.Retries.push_back(now);
             }
         }
         const double extra = 64; // Smallest allowance; it grows with the fleet.
         const double allowed_extra = std::max(extra, 2.0 * static_cast<double>(instances));
-        for (const TimeUs at : counts.Repeats)
+        for (const TimeUs at : counts.Retries)
         {
             const TimeUs from = at + 1 - window;
-            const int retries = CountIn(counts.Repeats, from, at + 1);
+            const int retries = CountIn(counts.Retries, from, at + 1);
             const int max = std::max({CountIn(counts.Requests, from, at + 1), CountIn(counts.Requests, from - window, from),
                                       CountIn(counts.Requests, from - window / 2, from + window / 2)});
             RC_ASSERT(retries <= 0.2 * max + allowed_extra);
@@ -349,12 +349,12 @@
 
     void AFleetKeepsTheRetryBudgetInEveryWindow()
     {
-        CHECK_COSTLY_PROPERTY(10, "repeats of the fleet in any window are within the users' budget", []() { PlayFleet(false); });
+        CHECK_COSTLY_PROPERTY(10, "repeats of the fleet in any window are within the users' budget", []() { SimulateFleet(false); });
     }
 
     void AnUnlimitedRetryBudgetIsDetected()
     {
-        CHECK_FINDS_FAULT("repeats that ask nobody break the users' budget", []() { PlayFleet(true); });
+        CHECK_FINDS_FAULT("repeats that ask nobody break the users' budget", []() { SimulateFleet(true); });
     }
 
     // A request that takes a retry from the budget but finds no target gives it back. Guards against losing that retry when a step of the
--- a/tests/probe_timeout_load_test.cpp
+++ b/tests/probe_timeout_load_test.cpp
@@ -38,7 +38,7 @@
     load->Late += !dead && !in_time ? 1 : 0;
 }
 
-static ProbeLoad Play(ProbeLoad load)
+static ProbeLoad SimulateProbes(ProbeLoad load)
 {
     for (int n = 0; n < ProbeCount; n++)
     {
@@ -60,7 +60,7 @@
 
     void AQuarterOfTheTargetsIsSlow()
     {
-        const ProbeLoad load = Play(ProbeLoad());
+        const ProbeLoad load = SimulateProbes(ProbeLoad());
         CPPUNIT_ASSERT(load.Late <= ProbeCount / 50); // The first probes are late, until the timeout has grown.
     }
 
@@ -68,25 +68,25 @@
     {
         ProbeLoad far;
         far.RoundTripMs = 70; // A distant region.
-        CPPUNIT_ASSERT(Play(far).Late <= ProbeCount / 20);
+        CPPUNIT_ASSERT(SimulateProbes(far).Late <= ProbeCount / 20);
     }
 
     void ATenthNeverAnswers()
     {
         ProbeLoad load;
         load.DeadShare = 0.1;
-        const ProbeLoad played = Play(load);
-        CPPUNIT_ASSERT(ProbeTimeoutNow(played.Timeout) <= played.Timeout.MaxUs);
-        CPPUNIT_ASSERT(played.Late <= ProbeCount / 50);
+        const ProbeLoad result = SimulateProbes(load);
+        CPPUNIT_ASSERT(ProbeTimeoutNow(result.Timeout) <= result.Timeout.MaxUs);
+        CPPUNIT_ASSERT(result.Late <= ProbeCount / 50);
     }
 
     void KeepsTheMinimumForFastTargets()
     {
         ProbeLoad fast;
         fast.SlowShare = 0;
-        const ProbeLoad played = Play(fast);
-        CPPUNIT_ASSERT_EQUAL(0, played.Late);
-        CPPUNIT_ASSERT_EQUAL(played.Timeout.MinUs, ProbeTimeoutNow(played.Timeout));
+        const ProbeLoad result = SimulateProbes(fast);
+        CPPUNIT_ASSERT_EQUAL(0, result.Late);
+        CPPUNIT_ASSERT_EQUAL(result.Timeout.MinUs, ProbeTimeoutNow(result.Timeout));
     }
 
     void ShrinksWhenProbesAreAnswered()
@@ -104,12 +104,12 @@
         CPPUNIT_ASSERT_EQUAL(time.MinUs, ProbeTimeoutNow(time));
     }
 
-    // A planted fault, a timeout that never grows, is detected.
+    // Injected fault: the timeout never grows. It must be detected.
     void AConstantTimeoutMissesSlowTargets()
     {
         ProbeLoad load;
         load.Timeout.Growth = 1;
-        CPPUNIT_ASSERT(Play(load).Late > ProbeCount / 10);
+        CPPUNIT_ASSERT(SimulateProbes(load).Late > ProbeCount / 10);
     }
 };
 
--- a/tests/quarantine_load_test.cpp
+++ b/tests/quarantine_load_test.cpp
@@ -53,7 +53,7 @@
     {
         for (int n = 0; n < TargetCount; n++)
         {
-            Targets.push_back({NextLife++, {}, 0});
+            Targets.push_back({NextIncarnation++, {}, 0});
         }
         for (int n = 0; n < Setting.CrashingRequests; n++)
         {
@@ -110,7 +110,7 @@
 
     struct Target
     {
-        uint64_t Life;
+        uint64_t Incarnation;
         std::vector<std::pair<uint64_t, Work>> InProgress;
         TimeUs BackAtUs;
     };
@@ -124,7 +124,7 @@
     LoadResult Result;
     TimeUs Now = 0;
     uint64_t Order = 0;
-    uint64_t NextLife = 1;
+    uint64_t NextIncarnation = 1;
     uint64_t NextWork = 1;
 
     TimeUs Between(TimeUs min, TimeUs max)
@@ -212,7 +212,7 @@
     void Crash(Target* target)
     {
         const std::vector<std::pair<uint64_t, Work>> lost = std::exchange(target->InProgress, {});
-        const uint64_t incarnation = std::exchange(target->Life, NextLife++);
+        const uint64_t incarnation = std::exchange(target->Incarnation, NextIncarnation++);
         target->BackAtUs = Now + RestartUs;
         if (Setting.Silently)
         {
--- a/tests/quota_load_test.cpp
+++ b/tests/quota_load_test.cpp
@@ -12,9 +12,9 @@
 
 static constexpr double QuotaShare = 1.6; // Quota as a multiple of the usual rate.
 static constexpr double HotFactor = 7.5;
-static constexpr double LargePerS = 47;  // Usual rate of a large customer,
-static constexpr double MiddlePerS = 12; // of a medium one,
-static constexpr double SmallPerS = 3;   // and of a small one.
+static constexpr double LargePerS = 47;  // Usual rate of a large customer.
+static constexpr double MiddlePerS = 12; // Usual rate of a medium customer.
+static constexpr double SmallPerS = 3;   // Usual rate of a small customer.
 
 // A fleet that has been up for a while, with four customers at their usual rates.
 static QuotaFleet UsualFleet(int instances, uint64_t seed)
@@ -353,7 +353,7 @@
                               });
     }
 
-    // A failure that the property above found: over a quarter of 72 instances partitioned, each alone.
+    // Regression test for a failure that the property above found: over a quarter of 72 instances partitioned, each on its own.
     void ASmallCustomerWhileAQuarterIsIsolated()
     {
         TestRandom dice(762296);
--- a/tests/returns_test.cpp
+++ b/tests/returns_test.cpp
@@ -10,7 +10,7 @@
 static constexpr TimeUs StepUs = 100 * UsPerMs;
 
 // Serves and refuses a fixed number of requests per step from `from` on for `time`. Returns the retry times that were assigned.
-static std::vector<TimeUs> Play(RetrySchedule* schedule, Random* random, TimeUs from, TimeUs time, int served, int refused)
+static std::vector<TimeUs> RunSchedule(RetrySchedule* schedule, Random* random, TimeUs from, TimeUs time, int served, int refused)
 {
     std::vector<TimeUs> retry_times;
     for (TimeUs now = from; now < from + time; now += StepUs)
@@ -57,7 +57,7 @@
     {
         RetrySchedule schedule;
         Random random(1);
-        Play(&schedule, &random, 0, 5 * UsPerSecond, 1, 0);
+        RunSchedule(&schedule, &random, 0, 5 * UsPerSecond, 1, 0);
         const TimeUs wait = RetryScheduleTake(&schedule, 5 * UsPerSecond, &random);
         CPPUNIT_ASSERT(wait >= schedule.MinUs * 8 / 10 && wait <= schedule.MinUs * 12 / 10);
     }
@@ -76,7 +76,7 @@
     {
         RetrySchedule schedule;
         Random random(1);
-        Play(&schedule, &random, 0, 3 * UsPerSecond, 1, 1);
+        RunSchedule(&schedule, &random, 0, 3 * UsPerSecond, 1, 1);
         const TimeUs now = 3 * UsPerSecond;
         CPPUNIT_ASSERT(RetryScheduleTake(&schedule, now, &random) > 3 * UsPerSecond);
     }
@@ -85,8 +85,8 @@
     {
         RetrySchedule schedule;
         Random random(1);
-        Play(&schedule, &random, 0, 3 * UsPerSecond, 1, 1);
-        Play(&schedule, &random, 3 * UsPerSecond, schedule.MaxUs, 1, 0);
+        RunSchedule(&schedule, &random, 0, 3 * UsPerSecond, 1, 1);
+        RunSchedule(&schedule, &random, 3 * UsPerSecond, schedule.MaxUs, 1, 0);
         const TimeUs wait = RetryScheduleTake(&schedule, 3 * UsPerSecond + schedule.MaxUs, &random);
         CPPUNIT_ASSERT(wait <= schedule.MinUs * 12 / 10);
     }
@@ -97,11 +97,11 @@
         RetrySchedule schedule;
         schedule.Jitter = 0; // Without jitter, so that the schedule's own spacing is counted.
         Random random(1);
-        Play(&schedule, &random, 0, 10 * UsPerSecond, 2, 0); // 20 served a second.
-        const std::vector<TimeUs> retry_times = Play(&schedule, &random, 10 * UsPerSecond, StepUs, 0, 15);
+        RunSchedule(&schedule, &random, 0, 10 * UsPerSecond, 2, 0); // 20 served a second.
+        const std::vector<TimeUs> retry_times = RunSchedule(&schedule, &random, 10 * UsPerSecond, StepUs, 0, 15);
         CPPUNIT_ASSERT(MaxInOneSecond(retry_times) <= 6);
         schedule.MaxUs = schedule.MinUs;
-        CPPUNIT_ASSERT_EQUAL(15, MaxInOneSecond(Play(&schedule, &random, 30 * UsPerSecond, StepUs, 0, 15)));
+        CPPUNIT_ASSERT_EQUAL(15, MaxInOneSecond(RunSchedule(&schedule, &random, 30 * UsPerSecond, StepUs, 0, 15)));
     }
 
     void RetryTimesStayWithinTheirBounds()
--- a/tests/soak_audit_test.cpp
+++ b/tests/soak_audit_test.cpp
@@ -130,7 +130,7 @@
         SoakLog log = CleanLog();
         log.Requests[0].Status = 0;
         CheckFinds(log, "cut without an answer");
-        log.Troubles = {{0, Start - UsPerSecond, Start + UsPerSecond, true}}; // A planned stop doesn't excuse it.
+        log.Troubles = {{0, Start - UsPerSecond, Start + UsPerSecond, true}}; // A planned stop is no disruption.
         CheckFinds(log, "cut without an answer");
         log.Troubles[0].Planned = false;
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty());
--- a/tests/target_limit_load_test.cpp
+++ b/tests/target_limit_load_test.cpp
@@ -298,7 +298,7 @@
         CheckBounds(FleetAfterFaults(2787982915), "several partitions, from 7 to 70 a second");
     }
 
-    // Half of 78 instances partitioned, each alone, after three partitions and three rounds of restarts.
+    // Half of 78 instances partitioned, each on its own, after three partitions and three rounds of restarts.
     void PartitionsAndRestartsInSeries()
     {
         CheckBounds(FleetAfterFaults(140), "partitions and restarts in series");
--- a/tests/target_limit_test.cpp
+++ b/tests/target_limit_test.cpp
@@ -10,9 +10,9 @@
 namespace Winchlink
 {
 
-static constexpr TimeUs WindowUs = 4 * UsPerSecond; // Length of the window that limits are checked over,
-static constexpr double WindowOverage = 1.5;        // allowed multiple of the limit in a window,
-static constexpr double WindowSlack = 5;            // and requests allowed on top.
+static constexpr TimeUs WindowUs = 4 * UsPerSecond; // Length of the windows over which limits are checked.
+static constexpr double WindowOverage = 1.5;        // Allowed arrivals in a window: the limit times this factor,
+static constexpr double WindowSlack = 5;            // plus this number.
 
 static double AllowedInWindow(double per_s)
 {
--- a/tests/two_slot_load_test.cpp
+++ b/tests/two_slot_load_test.cpp
@@ -107,7 +107,7 @@
     model->Now = arrived;
 }
 
-TwoSlotResult PlayTwoSlots(const TwoSlotPlan& plan)
+TwoSlotResult SimulateTwoSlots(const TwoSlotPlan& plan)
 {
     constexpr double nearly_full_factor = FullFactor; // The value that a pool learns from answers.
     constexpr TimeUs length = 40 * UsPerSecond;
@@ -172,8 +172,8 @@
 
     static void CheckBetter(const TwoSlotPlan& plan, double refused_max, double in_time_min)
     {
-        const TwoSlotResult result = PlayTwoSlots(plan);
-        const TwoSlotResult strict = PlayTwoSlots(WithStrictCost(plan));
+        const TwoSlotResult result = SimulateTwoSlots(plan);
+        const TwoSlotResult strict = SimulateTwoSlots(WithStrictCost(plan));
         const std::string text = TextOf(result) + "; strict: " + TextOf(strict);
         CPPUNIT_ASSERT_MESSAGE(text, ShareOf(result.Refused, result) <= refused_max);
         CPPUNIT_ASSERT_MESSAGE(text, ShareOf(result.InTime, result) >= in_time_min);
@@ -206,8 +206,8 @@
     {
         TwoSlotPlan overload;
         overload.RequestsPerSecond = 5 * 125;
-        const TwoSlotResult result = PlayTwoSlots(overload);
-        const TwoSlotResult strict = PlayTwoSlots(WithStrictCost(overload));
+        const TwoSlotResult result = SimulateTwoSlots(overload);
+        const TwoSlotResult strict = SimulateTwoSlots(WithStrictCost(overload));
         CPPUNIT_ASSERT_MESSAGE(TextOf(result) + "; strict: " + TextOf(strict), result.InTime >= strict.InTime * 0.98);
     }
 
