--- a/bench/soak_audit.cpp
+++ b/bench/soak_audit.cpp
@@ -303,27 +303,27 @@
 static std::map<std::string, TimeUs> QuarantineTimes(const SoakLog& log, const SoakBounds& bounds)
 {
     std::map<std::string, size_t> crashes;
-    std::map<std::string, TimeUs> enough;
+    std::map<std::string, TimeUs> quarantine_times;
     for (const SoakCrash& end : log.Ends)
     {
         if (++crashes[end.Path] == bounds.EndsMost)
         {
-            enough[end.Path] = end.AtUs;
+            quarantine_times[end.Path] = end.AtUs;
         }
     }
-    return enough;
+    return quarantine_times;
 }
 
 static void CheckQuarantines(const SoakLog& log, const SoakBounds& bounds,
                              const std::map<std::string, std::vector<const SoakArrival*>>& arrivals, Findings* found)
 {
-    const std::map<std::string, TimeUs> enough = QuarantineTimes(log, bounds);
+    const std::map<std::string, TimeUs> quarantine_times = QuarantineTimes(log, bounds);
     std::map<std::string, size_t> sent_later;
     for (const SoakRequest& request : log.Requests)
     {
-        const auto ended = enough.find(request.Path);
+        const auto ended = quarantine_times.find(request.Path);
         const auto of = arrivals.find(request.Id);
-        if (ended == enough.end() || of == arrivals.end())
+        if (ended == quarantine_times.end() || of == arrivals.end())
         {
             continue;
         }
--- a/bench/soak_audit.h
+++ b/bench/soak_audit.h
@@ -15,9 +15,9 @@
 {
     std::string Id;
     bool Repeatable = false;
-    int Instance = -1;        // Index of the instance that it was sent to.
-    std::string Path;         //
-    TimeUs SentUs = 0;        //
+    int Instance = -1; // Index of the instance that it was sent to.
+    std::string Path;
+    TimeUs SentUs = 0;
     TimeUs EndedUs = 0;       // Time of the answer or failure; 0: none yet, or the caller gave up.
     int Status = 0;           // 0: no complete answer.
     bool OwnAnswer = false;   // The answer is signed, and its body names the request's method and path.
@@ -29,10 +29,10 @@
 struct SoakArrival
 {
     std::string Id;
-    std::string Target;     // Id of the target.
-    std::string Service;    //
-    int Instance = -1;      // Index of the instance that sent it; -1: unknown.
-    TimeUs AtUs = 0;        //
+    std::string Target; // Id of the target.
+    std::string Service;
+    int Instance = -1; // Index of the instance that sent it; -1: unknown.
+    TimeUs AtUs = 0;
     bool Run = false;       // The target started to process it.
     std::string DataCentre; // Of the target.
 };
--- a/bench/soak_faults.cpp
+++ b/bench/soak_faults.cpp
@@ -191,7 +191,7 @@
     const TimeUs until = NowUs() + cold_ms * UsPerMs;
     target->Part.ColdMs = cold_ms;
     soak->Log.Colds.push_back({target->Part.Id, NowUs(), until});
-    const auto tell = [soak, target, until]()
+    const auto publish_cold = [soak, target, until]()
     {
         if (target->Listed)
         {
@@ -199,7 +199,7 @@
             UsersStoreTarget(&soak->Store, target->Part.Id, target->Service, target->Before.Address, target->Zone, false, left);
         }
     };
-    Later(soak, MsBetween(soak, 50, 1500), tell);
+    Later(soak, MsBetween(soak, 50, 1500), publish_cold);
     Later(soak, cold_ms * UsPerMs, [target]() { target->Part.ColdMs = 0; });
 }
 
--- a/bench/users_store.h
+++ b/bench/users_store.h
@@ -125,8 +125,8 @@
     std::string Name;
     std::vector<std::string> Keys;
     double RatePerS = 0; // 0: left out.
-    double Burst = 0;    //
-    int Priority = -1;   // -1: left out.
+    double Burst = 0;
+    int Priority = -1; // -1: left out.
 };
 
 // Publishes a configuration of the routes and of all services that they use.
--- a/bench/users_target.h
+++ b/bench/users_target.h
@@ -43,10 +43,10 @@
 // A request that the target received.
 struct ReceivedRequest
 {
-    std::string Id;     // Request id.
-    std::string Method; //
-    std::string Path;   // With the query.
-    std::string Body;   //
+    std::string Id; // Request id.
+    std::string Method;
+    std::string Path; // With the query.
+    std::string Body;
     std::vector<Header> Headers;
     bool Run = false;       // Processing started.
     bool Cancelled = false; // Its connection closed while it was queued or processed.
--- a/tests/customers_test.cpp
+++ b/tests/customers_test.cpp
@@ -70,13 +70,13 @@
     return name != nullptr ? *name : "-";
 }
 
-static bool HoldsText(const ReceivedRequest& saw, const std::string& text)
+static bool ContainsText(const ReceivedRequest& saw, const std::string& text)
 {
-    const auto holds = [&](const Header& header)
+    const auto contains = [&](const Header& header)
     {
         return header.Value.find(text) != std::string::npos || header.Name.find(text) != std::string::npos;
     };
-    return std::any_of(saw.Headers.begin(), saw.Headers.end(), holds) || saw.Path.find(text) != std::string::npos;
+    return std::any_of(saw.Headers.begin(), saw.Headers.end(), contains) || saw.Path.find(text) != std::string::npos;
 }
 
 static void AwaitVersion(Rig* rig, const Gateway& instance)
@@ -181,7 +181,7 @@
         CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&rig, instance, WithKey("bens-second-key")).Answer.Status);
         CPPUNIT_ASSERT_EQUAL(std::string("anne"), CustomerSeen(target.Saw[0]));
         CPPUNIT_ASSERT_EQUAL(std::string("ben"), CustomerSeen(target.Saw[1]));
-        CPPUNIT_ASSERT(!HoldsText(target.Saw[0], AnnesKey));
+        CPPUNIT_ASSERT(!ContainsText(target.Saw[0], AnnesKey));
     }
 
     void AnUnknownOrMissingKeyIsRefusedAtOnce()
@@ -218,9 +218,9 @@
                             ": eve\r\n\r\n");
         CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return caller.Read.find("HTTP/1.1 200") != std::string::npos; }));
         CPPUNIT_ASSERT_EQUAL(size_t{1}, target.Saw.size());
-        CPPUNIT_ASSERT(!HoldsText(target.Saw[0], AnnesKey));
-        CPPUNIT_ASSERT(!HoldsText(target.Saw[0], "eve"));
-        CPPUNIT_ASSERT(!HoldsText(target.Saw[0], "ben"));
+        CPPUNIT_ASSERT(!ContainsText(target.Saw[0], AnnesKey));
+        CPPUNIT_ASSERT(!ContainsText(target.Saw[0], "eve"));
+        CPPUNIT_ASSERT(!ContainsText(target.Saw[0], "ben"));
         CPPUNIT_ASSERT_EQUAL(std::string("anne"), CustomerSeen(target.Saw[0]));
     }
 
@@ -253,7 +253,7 @@
         RigConfigure(&rig, {UsersRoute()});
         const Gateway& instance = RigInstance(&rig, 1);
         CPPUNIT_ASSERT_EQUAL(200, RigSendAndWait(&rig, instance, WithKey(AnnesKey)).Answer.Status);
-        CPPUNIT_ASSERT(HoldsText(target.Saw[0], AnnesKey)); // Authorization is passed on unchanged.
+        CPPUNIT_ASSERT(ContainsText(target.Saw[0], AnnesKey)); // Authorization is passed on unchanged.
     }
 
     void ARevokedKeyIsRefusedOnKeptConnections()
--- a/tests/evacuation_test.cpp
+++ b/tests/evacuation_test.cpp
@@ -28,7 +28,7 @@
 }
 
 // Sends `count` requests in sequence; all must be answered with 200.
-static void AskGood(Rig* rig, const Gateway& instance, int count)
+static void SendGood(Rig* rig, const Gateway& instance, int count)
 {
     for (int n = 0; n < count; n++)
     {
@@ -72,18 +72,18 @@
         const UsersTarget& far = RigTarget(&rig, "far", "svc", "dc-b");
         RigConfigure(&rig, {UsersRoute()});
         const Gateway& instance = RigInstance(&rig, 2);
-        AskGood(&rig, instance, 2);
+        SendGood(&rig, instance, 2);
         CPPUNIT_ASSERT_EQUAL(size_t{2}, near.Saw.size());
         UsersStoreEvacuate(&rig.Store, "dc-a");
         AwaitEvacuated(&rig, instance, "dc-a", true);
         const int asked = near.HealthAsked;
-        AskGood(&rig, instance, 3);
+        SendGood(&rig, instance, 3);
         CPPUNIT_ASSERT_EQUAL(size_t{2}, near.Saw.size());
         CPPUNIT_ASSERT_EQUAL(size_t{3}, far.Saw.size());
         CPPUNIT_ASSERT_EQUAL(asked, near.HealthAsked); // Its targets get no load probes either.
         UsersStoreEndEvacuation(&rig.Store, "dc-a");
         AwaitEvacuated(&rig, instance, "dc-a", false);
-        AskGood(&rig, instance, 3);
+        SendGood(&rig, instance, 3);
         CPPUNIT_ASSERT(near.Saw.size() > 2);
     }
 
@@ -96,11 +96,11 @@
         far.SendsLoad = false;
         RigConfigure(&rig, {UsersRoute()});
         const Gateway& instance = RigInstance(&rig, 2);
-        AskGood(&rig, instance, 2);
+        SendGood(&rig, instance, 2);
         const size_t before = near.Saw.size();
         UsersStoreEvacuate(&rig.Store, "dc-a");
         AwaitEvacuated(&rig, instance, "dc-a", true);
-        AskGood(&rig, instance, 5);
+        SendGood(&rig, instance, 5);
         CPPUNIT_ASSERT_EQUAL(before, near.Saw.size());
     }
 
@@ -185,13 +185,13 @@
         const UsersTarget& far = RigTarget(&rig, "far", "svc", "dc-b");
         RigConfigure(&rig, {UsersRoute()});
         const Gateway& instance = RigInstance(&rig, 2);
-        AskGood(&rig, instance, 10); // The usual response time is known.
+        SendGood(&rig, instance, 10); // The usual response time is known.
         UsersStoreEvacuate(&rig.Store, "dc-b");
         AwaitEvacuated(&rig, instance, "dc-b", true);
         const size_t before = far.Saw.size();
         const int asked = far.HealthAsked;
         near.WorkUs = 300 * UsPerMs; // Far above the usual response time.
-        AskGood(&rig, instance, 1);
+        SendGood(&rig, instance, 1);
         CPPUNIT_ASSERT_EQUAL(before, far.Saw.size());
         CPPUNIT_ASSERT_EQUAL(asked, far.HealthAsked);
     }
@@ -216,7 +216,7 @@
         CPPUNIT_ASSERT(near.Saw.empty());
         UsersStoreEndEvacuation(&rig.Store, "dc-a");
         AwaitEvacuated(&rig, instance, "dc-a", false);
-        AskGood(&rig, instance, 1);
+        SendGood(&rig, instance, 1);
     }
 
     void SeveralAndSuccessiveEvacuations()
@@ -230,7 +230,7 @@
         UsersStoreEvacuate(&rig.Store, "dc-a");
         UsersStoreEvacuate(&rig.Store, "dc-b");
         CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return instance.Requests.Services.at("svc").Pool.Evacuated == 2; }));
-        AskGood(&rig, instance, 2);
+        SendGood(&rig, instance, 2);
         CPPUNIT_ASSERT_EQUAL(size_t{2}, c.Saw.size());
         UsersStoreEndEvacuation(&rig.Store, "dc-a");
         UsersStoreEvacuate(&rig.Store, "dc-c");
@@ -239,7 +239,7 @@
         CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return IsEvacuated(instance, "dc-c") && IsEvacuated(instance, "dc-a"); }));
         AwaitEvacuated(&rig, instance, "dc-a", true);
         CPPUNIT_ASSERT(!IsEvacuated(instance, "dc-b"));
-        AskGood(&rig, instance, 2);
+        SendGood(&rig, instance, 2);
         CPPUNIT_ASSERT_EQUAL(size_t{2}, b.Saw.size());
         CPPUNIT_ASSERT(a.Saw.empty());
         CPPUNIT_ASSERT_EQUAL(size_t{2}, c.Saw.size());
@@ -254,7 +254,7 @@
         UsersStoreEvacuate(&rig.Store, "no such place");
         CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return IsEvacuated(instance, "no such place"); }));
         CPPUNIT_ASSERT_EQUAL(0, instance.Requests.Services.at("svc").Pool.Evacuated);
-        AskGood(&rig, instance, 1);
+        SendGood(&rig, instance, 1);
     }
 
     void TargetsThatJoinLaterGetNoRequests()
@@ -267,7 +267,7 @@
         CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return IsEvacuated(instance, "dc-a"); }));
         const UsersTarget& joined = RigTarget(&rig, "joined", "svc", "dc-a");
         AwaitEvacuated(&rig, instance, "dc-a", true);
-        AskGood(&rig, instance, 3);
+        SendGood(&rig, instance, 3);
         CPPUNIT_ASSERT(joined.Saw.empty());
         CPPUNIT_ASSERT_EQUAL(0, joined.HealthAsked);
         CPPUNIT_ASSERT_EQUAL(size_t{3}, far.Saw.size());
@@ -299,10 +299,10 @@
         AwaitEvacuated(&rig, instance, "dc-a", true);
         UsersStoreSetMode(&rig.Store, StoreMode_Refusing);
         CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return instance.Requests.Directory.StoreUnavailable; }));
-        AskGood(&rig, instance, 3);
+        SendGood(&rig, instance, 3);
         UsersStoreSetMode(&rig.Store, StoreMode_Good);
         CPPUNIT_ASSERT(RigRunUntil(&rig, [&]() { return !instance.Requests.Directory.StoreUnavailable; }));
-        AskGood(&rig, instance, 3);
+        SendGood(&rig, instance, 3);
         CPPUNIT_ASSERT(near.Saw.empty());
         CPPUNIT_ASSERT(IsEvacuated(instance, "dc-a"));
     }
@@ -349,8 +349,8 @@
         UsersStoreEvacuate(&rig.Store, "dc-a");
         AwaitEvacuated(&rig, follower, "dc-a", true);
         AwaitEvacuated(&rig, seed_instance, "dc-a", true);
-        AskGood(&rig, seed_instance, 2);
-        AskGood(&rig, follower, 2);
+        SendGood(&rig, seed_instance, 2);
+        SendGood(&rig, follower, 2);
         CPPUNIT_ASSERT(near.Saw.empty());
         UsersStoreEndEvacuation(&rig.Store, "dc-a");
         AwaitEvacuated(&rig, seed_instance, "dc-a", false);
--- a/tests/fanout_load_test.cpp
+++ b/tests/fanout_load_test.cpp
@@ -38,12 +38,12 @@
     return fleet;
 }
 
-static UpdateServer HolderFor(const FanoutFleet& fleet, const FanoutInstance& holder, const std::string& data_centre)
+static UpdateServer ServerFor(const FanoutFleet& fleet, const FanoutInstance& server, const std::string& data_centre)
 {
     UpdateServer known;
     known.Revision = 1;
-    known.DataCentre = holder.DataCentre;
-    for (const int follower : holder.Followers)
+    known.DataCentre = server.DataCentre;
+    for (const int follower : server.Followers)
     {
         const FanoutInstance& one = fleet.Instances[static_cast<size_t>(follower)];
         known.Followers.push_back(one.Address);
@@ -72,18 +72,18 @@
     int at = is_seed ? 0 : std::uniform_int_distribution<int>(0, SeedCount - 1)(fleet->Rng);
     for (int calls = 1;; calls++)
     {
-        FanoutInstance& holder = fleet->Instances[static_cast<size_t>(at)];
-        UpdateRequest asker;
-        asker.Address = self.Address;
-        asker.DataCentre = self.DataCentre;
-        asker.Seed = is_seed;
-        asker.After = 1;
+        FanoutInstance& server = fleet->Instances[static_cast<size_t>(at)];
+        UpdateRequest request;
+        request.Address = self.Address;
+        request.DataCentre = self.DataCentre;
+        request.Seed = is_seed;
+        request.After = 1;
         const UpdateDecision answer =
-            FanoutDecide(&holder.Spread, asker, HolderFor(*fleet, holder, self.DataCentre), fleet->Now, &fleet->Rng);
+            FanoutDecide(&server.Spread, request, ServerFor(*fleet, server, self.DataCentre), fleet->Now, &fleet->Rng);
         if (answer.Action != UpdateAction_Redirect)
         {
             self.Source = at;
-            holder.Followers.push_back(instance);
+            server.Followers.push_back(instance);
             return calls;
         }
         at = FindByAddress(*fleet, answer.Elsewhere.front());
@@ -149,17 +149,17 @@
     {
         Fanout spread;
         Random random(1);
-        UpdateServer holder;
-        holder.Revision = 1;
-        holder.DataCentre = "here";
+        UpdateServer server;
+        server.Revision = 1;
+        server.DataCentre = "here";
         int here = 0;
         for (int n = 0; n < 6; n++)
         {
-            UpdateRequest asker;
-            asker.FullRead = true;
-            asker.Address = fmt::format("10.0.0.{}:80", n + 1);
-            asker.DataCentre = "there";
-            const UpdateDecision answer = FanoutDecide(&spread, asker, holder, UsPerSecond, &random);
+            UpdateRequest request;
+            request.FullRead = true;
+            request.Address = fmt::format("10.0.0.{}:80", n + 1);
+            request.DataCentre = "there";
+            const UpdateDecision answer = FanoutDecide(&spread, request, server, UsPerSecond, &random);
             here += answer.Action == UpdateAction_Answer ? 1 : 0;
             CPPUNIT_ASSERT(answer.Action == UpdateAction_Answer || !answer.Elsewhere.empty());
         }
@@ -170,17 +170,17 @@
     {
         Fanout spread;
         Random random(1);
-        UpdateServer holder;
-        holder.Revision = 1;
-        holder.StoreLost = true;
-        holder.DataCentre = "here";
-        holder.Followers = {"10.0.0.1:80", "10.0.0.2:80"};
-        holder.Nearby = holder.Followers;
-        UpdateRequest asker;
-        asker.Address = "10.0.0.3:80";
-        asker.DataCentre = "there";
-        asker.After = 1;
-        CPPUNIT_ASSERT_EQUAL(UpdateAction_Answer, FanoutDecide(&spread, asker, holder, UsPerSecond, &random).Action);
+        UpdateServer server;
+        server.Revision = 1;
+        server.StoreLost = true;
+        server.DataCentre = "here";
+        server.Followers = {"10.0.0.1:80", "10.0.0.2:80"};
+        server.Nearby = server.Followers;
+        UpdateRequest request;
+        request.Address = "10.0.0.3:80";
+        request.DataCentre = "there";
+        request.After = 1;
+        CPPUNIT_ASSERT_EQUAL(UpdateAction_Answer, FanoutDecide(&spread, request, server, UsPerSecond, &random).Action);
     }
 
     // Counter-check: without data centres in the requests, most followers have a source in another data centre.
--- a/tests/follow_load_test.cpp
+++ b/tests/follow_load_test.cpp
@@ -18,19 +18,19 @@
 
 constexpr size_t FleetSize = 473;
 constexpr size_t SeedCount = 3;
-constexpr TimeUs OneWayUs = 800;                // Between instances.
-constexpr TimeUs StoreUs = 4 * UsPerMs;         // From the store's answer until it arrives.
-constexpr TimeUs MessageUs = UsPerMs;           // Processor time to read a message, at a tenth of a core.
-constexpr TimeUs EverythingUs = 10 * UsPerMs;   // Processor time to read a full copy of the store.
-constexpr TimeUs TransferUs = 20 * UsPerMs;     // Transfer of a full copy: 50 KB at 20 Mbit/s.
-constexpr TimeUs StoreWaitUs = 800 * UsPerMs;   // This and the next six are equal to the values in GatewayTiming.
-constexpr TimeUs StoreMarginUs = 350 * UsPerMs; //
-constexpr TimeUs StoreGatherUs = 300 * UsPerMs; //
-constexpr TimeUs PeerWaitUs = 950 * UsPerMs;    //
-constexpr TimeUs PeerMarginUs = 250 * UsPerMs;  //
-constexpr TimeUs HoldUs = 500 * UsPerMs;        //
-constexpr TimeUs BeatUs = 700 * UsPerMs;        //
-constexpr TimeUs ConnectUs = 100 * UsPerMs;     // Timeout of a connection attempt to an unresponsive instance.
+constexpr TimeUs OneWayUs = 800;              // Between instances.
+constexpr TimeUs StoreUs = 4 * UsPerMs;       // From the store's answer until it arrives.
+constexpr TimeUs MessageUs = UsPerMs;         // Processor time to read a message, at a tenth of a core.
+constexpr TimeUs EverythingUs = 10 * UsPerMs; // Processor time to read a full copy of the store.
+constexpr TimeUs TransferUs = 20 * UsPerMs;   // Transfer of a full copy: 50 KB at 20 Mbit/s.
+constexpr TimeUs StoreWaitUs = 800 * UsPerMs; // This and the next six are equal to the values in GatewayTiming.
+constexpr TimeUs StoreMarginUs = 350 * UsPerMs;
+constexpr TimeUs StoreGatherUs = 300 * UsPerMs;
+constexpr TimeUs PeerWaitUs = 950 * UsPerMs;
+constexpr TimeUs PeerMarginUs = 250 * UsPerMs;
+constexpr TimeUs HoldUs = 500 * UsPerMs;
+constexpr TimeUs BeatUs = 700 * UsPerMs;
+constexpr TimeUs ConnectUs = 100 * UsPerMs; // Timeout of a connection attempt to an unresponsive instance.
 constexpr const char* StoreAddress = "10.0.0.1:1";
 
 enum ModelState_ : int
@@ -223,29 +223,29 @@
     self.NotifiedUs = model->Now;
     self.NotifiedFreshUs = self.Following.FreshUs;
     const bool knows = self.Following.Revision != 0;
-    EndWaits(model, server, [knows](const UpdateRequest& asker) { return !asker.AskStore && (knows || !asker.FullRead); });
+    EndWaits(model, server, [knows](const UpdateRequest& request) { return !request.AskStore && (knows || !request.FullRead); });
 }
 
-void AnswerLeads(Model* model, size_t server)
+void EndAskStoreWaits(Model* model, size_t server)
 {
-    EndWaits(model, server, [](const UpdateRequest& asker) { return asker.AskStore; });
+    EndWaits(model, server, [](const UpdateRequest& request) { return request.AskStore; });
 }
 
 void OnStoreLost(Model* model, size_t instance, TimeUs tried)
 {
     ModelInstance& self = model->Fleet[instance];
-    const bool tell = !self.Lost || model->Now >= self.NotifiedUs + BeatUs;
+    const bool notify = !self.Lost || model->Now >= self.NotifiedUs + BeatUs;
     self.Lost = true;
     self.TriedUs = std::max(self.TriedUs, tried);
     if (self.Following.Revision == 0)
     {
-        EndWaits(model, instance, [](const UpdateRequest& asker) { return asker.FullRead && asker.StoreLost && !asker.AskStore; });
+        EndWaits(model, instance, [](const UpdateRequest& request) { return request.FullRead && request.StoreLost && !request.AskStore; });
     }
-    else if (tell)
+    else if (notify)
     {
         AnswerFollowers(model, instance);
     }
-    AnswerLeads(model, instance);
+    EndAskStoreWaits(model, instance);
 }
 
 void OnSourceAnswer(Model* model, size_t instance, uint64_t call, const SourceStatus& status)
@@ -258,18 +258,18 @@
     self.Call = 0;
     const uint64_t before = self.Following.Revision;
     const bool from_store = self.Following.Next.Kind == SourceKind_Store;
-    const FollowResult_ verdict = FollowAnswered(&self.Following, status, model->Now, &model->Rng);
-    model->SourcesLeft += verdict == FollowResult_Stale || verdict == FollowResult_Loop ? 1 : 0;
+    const FollowResult_ result = FollowAnswered(&self.Following, status, model->Now, &model->Rng);
+    model->SourcesLeft += result == FollowResult_Stale || result == FollowResult_Loop ? 1 : 0;
     const bool changed = self.Following.Revision > before;
     if (changed)
     {
         AnswerFollowers(model, instance);
     }
-    if (verdict == FollowResult_StoreLost)
+    if (result == FollowResult_StoreLost)
     {
         OnStoreLost(model, instance, model->Now - status.TriedUs);
     }
-    if (verdict == FollowResult_Good)
+    if (result == FollowResult_Good)
     {
         const bool found = self.Lost;
         self.Lost = false;
@@ -277,7 +277,7 @@
         {
             AnswerFollowers(model, instance);
         }
-        AnswerLeads(model, instance);
+        EndAskStoreWaits(model, instance);
     }
     StartCall(model, instance, changed && from_store ? StoreGatherUs : 0);
 }
@@ -345,11 +345,11 @@
     {
         const auto sent_on = [=]()
         {
-            ModelInstance& asker = model->Fleet[wait.From];
-            if (asker.State == ModelState_Up && asker.Call == wait.Call)
+            ModelInstance& follower = model->Fleet[wait.From];
+            if (follower.State == ModelState_Up && follower.Call == wait.Call)
             {
-                asker.Call = 0;
-                FollowRedirected(&asker.Following, answer.Elsewhere, &model->Rng);
+                follower.Call = 0;
+                FollowRedirected(&follower.Following, answer.Elsewhere, &model->Rng);
                 StartCall(model, wait.From);
             }
         };
@@ -403,12 +403,12 @@
     self.Call = call;
     const auto ask = [=]()
     {
-        const ModelInstance& asker = model->Fleet[instance];
-        if (asker.State != ModelState_Up || asker.Call != call)
+        const ModelInstance& follower = model->Fleet[instance];
+        if (follower.State != ModelState_Up || follower.Call != call)
         {
             return;
         }
-        const FollowStep step = asker.Following.Next;
+        const FollowStep step = follower.Following.Next;
         step.Kind == SourceKind_Store ? CallStore(model, instance, call, step) : CallInstance(model, instance, call, step);
     };
     ScheduleAt(model, model->Now + std::max(pause, self.Following.Next.PauseUs), ask);
--- a/tests/probe_timeout_load_test.cpp
+++ b/tests/probe_timeout_load_test.cpp
@@ -27,7 +27,7 @@
     return std::uniform_real_distribution<double>(min, max)(load->Rng);
 }
 
-static void Ask(ProbeLoad* load)
+static void SendProbe(ProbeLoad* load)
 {
     const bool dead = Draw(load, 0, 1) < load->DeadShare;
     const double pace = Draw(load, 0, 1) < load->SlowShare ? SlowFactor : 1;
@@ -42,7 +42,7 @@
 {
     for (int n = 0; n < ProbeCount; n++)
     {
-        Ask(&load);
+        SendProbe(&load);
     }
     return load;
 }
