--- a/tests/follow_load_test.cpp
+++ b/tests/follow_load_test.cpp
@@ -23,14 +23,14 @@
 constexpr TimeUs MessageUs = UsPerMs;         // Processor time to read a message, at a tenth of a core.
 constexpr TimeUs EverythingUs = 10 * UsPerMs; // Processor time to read a full copy of the store.
 constexpr TimeUs TransferUs = 20 * UsPerMs;   // Transfer of a full copy: 50 KB at 20 Mbit/s.
-constexpr TimeUs StoreWaitUs = 800 * UsPerMs; // This and the next six are equal to the values in GatewayTiming.
+constexpr TimeUs StoreWaitUs = 800 * UsPerMs; // This and the next four are equal to the values in GatewayTiming.
 constexpr TimeUs StoreMarginUs = 350 * UsPerMs;
 constexpr TimeUs StoreGatherUs = 300 * UsPerMs;
 constexpr TimeUs PeerWaitUs = 950 * UsPerMs;
 constexpr TimeUs PeerMarginUs = 250 * UsPerMs;
-constexpr TimeUs HoldUs = 500 * UsPerMs;
-constexpr TimeUs BeatUs = 700 * UsPerMs;
-constexpr TimeUs ConnectUs = 100 * UsPerMs; // Timeout of a connection attempt to an unresponsive instance.
+constexpr TimeUs FullReadHoldUs = 500 * UsPerMs; // Equal to the value in relay.cpp.
+constexpr TimeUs HeartbeatUs = 700 * UsPerMs;    // RelayConfig has 800 ms.
+constexpr TimeUs ConnectUs = 100 * UsPerMs;      // Timeout of a connection attempt to an unresponsive instance.
 constexpr const char* StoreAddress = "10.0.0.1:1";
 
 enum ModelState_ : int
@@ -234,7 +234,7 @@
 void OnStoreLost(Model* model, size_t instance, TimeUs tried)
 {
     ModelInstance& self = model->Fleet[instance];
-    const bool notify = !self.Lost || model->Now >= self.NotifiedUs + BeatUs;
+    const bool notify = !self.Lost || model->Now >= self.NotifiedUs + HeartbeatUs;
     self.Lost = true;
     self.TriedUs = std::max(self.TriedUs, tried);
     if (self.Following.Revision == 0)
@@ -273,7 +273,7 @@
     {
         const bool found = self.Lost;
         self.Lost = false;
-        if (found || self.Following.FreshUs >= self.NotifiedFreshUs + BeatUs)
+        if (found || self.Following.FreshUs >= self.NotifiedFreshUs + HeartbeatUs)
         {
             AnswerFollowers(model, instance);
         }
@@ -377,7 +377,7 @@
 {
     const Follow& following = model->Fleet[instance].Following;
     ModelWait wait{instance, call, {following.Own, following.Revision == 0, following.Revision, step.AskStore, step.StoreLost, "", false}};
-    const TimeUs usual = wait.Asker.FullRead ? HoldUs : PeerWaitUs;
+    const TimeUs usual = wait.Asker.FullRead ? FullReadHoldUs : PeerWaitUs;
     const TimeUs max = step.WaitMaxUs > 0 ? std::min(step.WaitMaxUs, usual) : usual;
     const TimeUs margin = wait.Asker.FullRead ? 700 * UsPerMs : PeerMarginUs;
     const size_t server = InstanceAt(*model, step.Address);
