--- a/tests/follow_load_test.cpp
+++ b/tests/follow_load_test.cpp
@@ -18,19 +18,19 @@
 
 constexpr size_t FleetSize = 473;
 constexpr size_t SeedCount = 3;
-constexpr TimeUs OneWayUs = 800;                // Between instances.
-constexpr TimeUs StoreUs = 4 * UsPerMs;         // From the store's answer until it arrives.
-constexpr TimeUs MessageUs = UsPerMs;           // Processor time to read a message, at a tenth of a core.
-constexpr TimeUs EverythingUs = 10 * UsPerMs;   // Processor time to read a full copy of the store.
-constexpr TimeUs TransferUs = 20 * UsPerMs;     // Transfer of a full copy: 50 KB at 20 Mbit/s.
-constexpr TimeUs StoreWaitUs = 800 * UsPerMs;   // This and the next six are equal to the values in GatewayTiming.
-constexpr TimeUs StoreMarginUs = 350 * UsPerMs; //
-constexpr TimeUs StoreGatherUs = 300 * UsPerMs; //
-constexpr TimeUs PeerWaitUs = 950 * UsPerMs;    //
-constexpr TimeUs PeerMarginUs = 250 * UsPerMs;  //
-constexpr TimeUs HoldUs = 500 * UsPerMs;        //
-constexpr TimeUs BeatUs = 700 * UsPerMs;        //
-constexpr TimeUs ConnectUs = 100 * UsPerMs;     // Timeout of a connection attempt to an unresponsive instance.
+constexpr TimeUs OneWayUs = 800;              // Between instances.
+constexpr TimeUs StoreUs = 4 * UsPerMs;       // From the store's answer until it arrives.
+constexpr TimeUs MessageUs = UsPerMs;         // Processor time to read a message, at a tenth of a core.
+constexpr TimeUs EverythingUs = 10 * UsPerMs; // Processor time to read a full copy of the store.
+constexpr TimeUs TransferUs = 20 * UsPerMs;   // Transfer of a full copy: 50 KB at 20 Mbit/s.
+constexpr TimeUs StoreWaitUs = 800 * UsPerMs; // This and the next four are equal to the values in GatewayTiming.
+constexpr TimeUs StoreMarginUs = 350 * UsPerMs;
+constexpr TimeUs StoreGatherUs = 300 * UsPerMs;
+constexpr TimeUs PeerWaitUs = 950 * UsPerMs;
+constexpr TimeUs PeerMarginUs = 250 * UsPerMs;
+constexpr TimeUs FullReadHoldUs = 500 * UsPerMs; // Equal to the value in relay.cpp.
+constexpr TimeUs HeartbeatUs = 700 * UsPerMs;    // RelayConfig has 800 ms.
+constexpr TimeUs ConnectUs = 100 * UsPerMs;      // Timeout of a connection attempt to an unresponsive instance.
 constexpr const char* StoreAddress = "10.0.0.1:1";
 
 enum ModelState_ : int
@@ -56,8 +56,8 @@
     std::map<uint64_t, ModelWait> Waits; // Held calls of followers, by call id.
     bool Lost = false;                   // The store can't be reached.
     TimeUs TriedUs = 0;
-    TimeUs ToldUs = 0;
-    TimeUs ToldFreshUs = 0;
+    TimeUs NotifiedUs = 0;
+    TimeUs NotifiedFreshUs = 0;
     TimeUs LinkUs = 0; // The link is busy until then.
     TimeUs BusyUs = 0; // The processor is busy until then.
 };
@@ -80,16 +80,18 @@
     uint64_t LastCall = 0;
     std::priority_queue<Event, std::vector<Event>, Later> Events;
     std::vector<ModelInstance> Fleet;
+    // Whether the store refuses calls of the instance.
     std::function<bool(size_t instance, TimeUs now)> Refuses = [](size_t, TimeUs)
     {
         return false;
-    };                             // Whether the store refuses calls of the instance.
+    };
     TimeUs EditUs = 500 * UsPerMs; // Interval between changes in the store.
     uint64_t SourcesLeft = 0;      // Times that a source was left because it was behind or had its data from the follower itself.
+    // Whether the store leaves calls of the instance unanswered.
     std::function<bool(size_t instance)> SilentTo = [](size_t)
     {
         return false;
-    };                   // Whether the store leaves calls of the instance unanswered.
+    };
     bool Silent = false; // The store answers no call.
     uint64_t StoreCalls = 0;
     std::array<uint64_t, StoreReason_COUNT> CallsFor = {};
@@ -177,7 +179,7 @@
     return {following.Revision, model.Now - following.FreshUs, self.Lost, self.Lost ? model.Now - self.TriedUs : 0, following.Origin};
 }
 
-void OnSourceAnswer(Model* model, size_t instance, uint64_t call, const SourceStatus& news);
+void OnSourceAnswer(Model* model, size_t instance, uint64_t call, const SourceStatus& status);
 
 void SendAnswer(Model* model, size_t server, const ModelWait& wait)
 {
@@ -193,17 +195,17 @@
     self.LinkUs = wait.Asker.FullRead ? std::max(self.LinkUs, sent) + TransferUs : self.LinkUs;
     const TimeUs there = (wait.Asker.FullRead ? self.LinkUs : sent) + OneWayUs;
     const TimeUs read = wait.Asker.FullRead ? EverythingUs : MessageUs;
-    const SourceStatus news = SourceStateOf(*model, self);
+    const SourceStatus status = SourceStateOf(*model, self);
     ScheduleAt(model, there,
-               [=]() { ScheduleAt(model, QueueWork(model, to, model->Now, read), [=]() { OnSourceAnswer(model, to, call, news); }); });
+               [=]() { ScheduleAt(model, QueueWork(model, to, model->Now, read), [=]() { OnSourceAnswer(model, to, call, status); }); });
 }
 
-void EndWaits(Model* model, size_t server, const std::function<bool(const UpdateRequest&)>& ends)
+void EndWaits(Model* model, size_t server, const std::function<bool(const UpdateRequest&)>& matches)
 {
     std::vector<ModelWait> ending;
     for (const auto& entry : model->Fleet[server].Waits)
     {
-        if (ends(entry.second.Asker))
+        if (matches(entry.second.Asker))
         {
             ending.push_back(entry.second);
         }
@@ -218,35 +220,35 @@
 void AnswerFollowers(Model* model, size_t server)
 {
     ModelInstance& self = model->Fleet[server];
-    self.ToldUs = model->Now;
-    self.ToldFreshUs = self.Following.FreshUs;
+    self.NotifiedUs = model->Now;
+    self.NotifiedFreshUs = self.Following.FreshUs;
     const bool knows = self.Following.Revision != 0;
-    EndWaits(model, server, [knows](const UpdateRequest& asker) { return !asker.AskStore && (knows || !asker.FullRead); });
+    EndWaits(model, server, [knows](const UpdateRequest& request) { return !request.AskStore && (knows || !request.FullRead); });
 }
 
-void AnswerLeads(Model* model, size_t server)
+void EndAskStoreWaits(Model* model, size_t server)
 {
-    EndWaits(model, server, [](const UpdateRequest& asker) { return asker.AskStore; });
+    EndWaits(model, server, [](const UpdateRequest& request) { return request.AskStore; });
 }
 
 void OnStoreLost(Model* model, size_t instance, TimeUs tried)
 {
     ModelInstance& self = model->Fleet[instance];
-    const bool tell = !self.Lost || model->Now >= self.ToldUs + BeatUs;
+    const bool notify = !self.Lost || model->Now >= self.NotifiedUs + HeartbeatUs;
     self.Lost = true;
     self.TriedUs = std::max(self.TriedUs, tried);
     if (self.Following.Revision == 0)
     {
-        EndWaits(model, instance, [](const UpdateRequest& asker) { return asker.FullRead && asker.StoreLost && !asker.AskStore; });
+        EndWaits(model, instance, [](const UpdateRequest& request) { return request.FullRead && request.StoreLost && !request.AskStore; });
     }
-    else if (tell)
+    else if (notify)
     {
         AnswerFollowers(model, instance);
     }
-    AnswerLeads(model, instance);
+    EndAskStoreWaits(model, instance);
 }
 
-void OnSourceAnswer(Model* model, size_t instance, uint64_t call, const SourceStatus& news)
+void OnSourceAnswer(Model* model, size_t instance, uint64_t call, const SourceStatus& status)
 {
     ModelInstance& self = model->Fleet[instance];
     if (self.State != ModelState_Up || self.Call != call)
@@ -256,26 +258,26 @@
     self.Call = 0;
     const uint64_t before = self.Following.Revision;
     const bool from_store = self.Following.Next.Kind == SourceKind_Store;
-    const FollowResult_ verdict = FollowAnswered(&self.Following, news, model->Now, &model->Rng);
-    model->SourcesLeft += verdict == FollowResult_Stale || verdict == FollowResult_Loop ? 1 : 0;
+    const FollowResult_ result = FollowAnswered(&self.Following, status, model->Now, &model->Rng);
+    model->SourcesLeft += result == FollowResult_Stale || result == FollowResult_Loop ? 1 : 0;
     const bool changed = self.Following.Revision > before;
     if (changed)
     {
         AnswerFollowers(model, instance);
     }
-    if (verdict == FollowResult_StoreLost)
+    if (result == FollowResult_StoreLost)
     {
-        OnStoreLost(model, instance, model->Now - news.TriedUs);
+        OnStoreLost(model, instance, model->Now - status.TriedUs);
     }
-    if (verdict == FollowResult_Good)
+    if (result == FollowResult_Good)
     {
         const bool found = self.Lost;
         self.Lost = false;
-        if (found || self.Following.FreshUs >= self.ToldFreshUs + BeatUs)
+        if (found || self.Following.FreshUs >= self.NotifiedFreshUs + HeartbeatUs)
         {
             AnswerFollowers(model, instance);
         }
-        AnswerLeads(model, instance);
+        EndAskStoreWaits(model, instance);
     }
     StartCall(model, instance, changed && from_store ? StoreGatherUs : 0);
 }
@@ -316,14 +318,14 @@
             CallFailed(model, instance, call, false); // Ends a long poll that is in progress.
             return;
         }
-        const SourceStatus news = {StoreRevision(*model, model->Now), 0, false, 0, ""};
+        const SourceStatus status = {StoreRevision(*model, model->Now), 0, false, 0, ""};
         const TimeUs read = QueueWork(model, instance, model->Now + StoreUs, everything ? EverythingUs : MessageUs);
-        ScheduleAt(model, read, [=]() { OnSourceAnswer(model, instance, call, news); });
+        ScheduleAt(model, read, [=]() { OnSourceAnswer(model, instance, call, status); });
     };
     ScheduleAt(model, answer, answered);
 }
 
-void Serve(Model* model, size_t server, const ModelWait& wait, TimeUs most)
+void Serve(Model* model, size_t server, const ModelWait& wait, TimeUs max)
 {
     ModelInstance& self = model->Fleet[server];
     FollowAddInstance(&self.Following, wait.Asker.Address);
@@ -343,11 +345,11 @@
     {
         const auto sent_on = [=]()
         {
-            ModelInstance& asker = model->Fleet[wait.From];
-            if (asker.State == ModelState_Up && asker.Call == wait.Call)
+            ModelInstance& follower = model->Fleet[wait.From];
+            if (follower.State == ModelState_Up && follower.Call == wait.Call)
             {
-                asker.Call = 0;
-                FollowRedirected(&asker.Following, answer.Elsewhere, &model->Rng);
+                follower.Call = 0;
+                FollowRedirected(&follower.Following, answer.Elsewhere, &model->Rng);
                 StartCall(model, wait.From);
             }
         };
@@ -368,15 +370,15 @@
             SendAnswer(model, server, wait);
         }
     };
-    ScheduleAt(model, model->Now + most, over);
+    ScheduleAt(model, model->Now + max, over);
 }
 
 void CallInstance(Model* model, size_t instance, uint64_t call, const FollowStep& step)
 {
     const Follow& following = model->Fleet[instance].Following;
     ModelWait wait{instance, call, {following.Own, following.Revision == 0, following.Revision, step.AskStore, step.StoreLost, "", false}};
-    const TimeUs usual = wait.Asker.FullRead ? HoldUs : PeerWaitUs;
-    const TimeUs most = step.WaitMaxUs > 0 ? std::min(step.WaitMaxUs, usual) : usual;
+    const TimeUs usual = wait.Asker.FullRead ? FullReadHoldUs : PeerWaitUs;
+    const TimeUs max = step.WaitMaxUs > 0 ? std::min(step.WaitMaxUs, usual) : usual;
     const TimeUs margin = wait.Asker.FullRead ? 700 * UsPerMs : PeerMarginUs;
     const size_t server = InstanceAt(*model, step.Address);
     const auto arrives = [=]()
@@ -384,14 +386,14 @@
         const ModelState_ state = model->Fleet[server].State;
         if (state == ModelState_Up)
         {
-            Serve(model, server, wait, most);
+            Serve(model, server, wait, max);
             return;
         }
-        const TimeUs told = state == ModelState_Crashed ? OneWayUs : ConnectUs;
-        ScheduleAt(model, model->Now + told, [=]() { CallFailed(model, instance, call, false); });
+        const TimeUs failure_delay = state == ModelState_Crashed ? OneWayUs : ConnectUs;
+        ScheduleAt(model, model->Now + failure_delay, [=]() { CallFailed(model, instance, call, false); });
     };
     ScheduleAt(model, model->Now + 2 * OneWayUs, arrives); // Opening a connection, or one way and processing.
-    ScheduleAt(model, model->Now + most + margin, [=]() { CallFailed(model, instance, call, true); });
+    ScheduleAt(model, model->Now + max + margin, [=]() { CallFailed(model, instance, call, true); });
 }
 
 void StartCall(Model* model, size_t instance, TimeUs pause)
@@ -401,12 +403,12 @@
     self.Call = call;
     const auto ask = [=]()
     {
-        const ModelInstance& asker = model->Fleet[instance];
-        if (asker.State != ModelState_Up || asker.Call != call)
+        const ModelInstance& follower = model->Fleet[instance];
+        if (follower.State != ModelState_Up || follower.Call != call)
         {
             return;
         }
-        const FollowStep step = asker.Following.Next;
+        const FollowStep step = follower.Following.Next;
         step.Kind == SourceKind_Store ? CallStore(model, instance, call, step) : CallInstance(model, instance, call, step);
     };
     ScheduleAt(model, model->Now + std::max(pause, self.Following.Next.PauseUs), ask);
@@ -557,14 +559,14 @@
         model->CallsFor = {};
     }
 
-    static void CheckCalls(const Model& model, uint64_t most)
+    static void CheckCalls(const Model& model, uint64_t max)
     {
-        CPPUNIT_ASSERT_MESSAGE(DescribeCalls(model), model.StoreCalls <= most);
+        CPPUNIT_ASSERT_MESSAGE(DescribeCalls(model), model.StoreCalls <= max);
     }
 
-    static void CheckAge(TimeUs oldest, TimeUs most)
+    static void CheckAge(TimeUs oldest, TimeUs max)
     {
-        CPPUNIT_ASSERT_MESSAGE(fmt::format("{} ms old", oldest / UsPerMs), oldest <= most);
+        CPPUNIT_ASSERT_MESSAGE(fmt::format("{} ms old", oldest / UsPerMs), oldest <= max);
     }
 
     // All instances start at once, as after a power loss, and the seeds last, 0.3 s after the first. Only the seeds may read the store; the
