--- a/gateway/crash_reports.cpp
+++ b/gateway/crash_reports.cpp
@@ -219,7 +219,7 @@
     {
         PushSoon(reports);
     }
-    return message.value().Digest == ends->Known->Digest ? "" : EncodeAll(*ends);
+    return message.value().Digest == reports->Known->Digest ? "" : EncodeAll(*reports);
 }
 
 } // namespace Winchlink
