--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -17,7 +17,7 @@
 Mechanisms=(
     "nothing~winchlink.h~"
     "asking before sending~gateway/choose.cpp~s/if (!call->Service->Pool.ReportsLoad || call->Spec->HealthPath.empty())/if (true)/"
-    "sharing questions~gateway/choose.cpp~s/if (askers.size() == 1)/if (true)/"
+    "sharing questions~gateway/choose.cpp~s/if (waiters.size() == 1)/if (true)/"
     "reusing reports~gateway/forward.h~s/ReportReuseUs = 8 \* UsPerMs/ReportReuseUs = 0/"
     "near first~winchlink_pool.cpp~s/target.Near = /target.Near = true || /"
     "keeping to the same targets~winchlink_pick.cpp~s/\[\](const PoolTarget\& target) { return target.Order; }/[now](const PoolTarget\& target) { return (target.Order ^ (now * 2654435761)) \& INT64_MAX; }/"
