--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -22,7 +22,7 @@
     "near first~winchlink_pool.cpp~s/target.Near = /target.Near = true || /"
     "keeping to the same targets~winchlink_pick.cpp~s/\[\](const PoolTarget\& target) { return target.Order; }/[now](const PoolTarget\& target) { return (target.Order ^ (now * 2654435761)) \& INT64_MAX; }/"
     "waiting for a slot~gateway/forward.h~s/ProbeRetryUs = 20 \* UsPerMs/ProbeRetryUs = 60 * UsPerSecond/"
-    "handing freed slots on~gateway/choose.cpp~s/if (first \&\& told \&\& IsGood/if (false \&\& first \&\& told \&\& IsGood/"
+    "handing freed slots on~gateway/choose.cpp~s/if (first \&\& has_report \&\& IsGood/if (false \&\& first \&\& has_report \&\& IsGood/"
     "leaving out what would be late~gateway/choose.cpp~s/return cost \* call.Work->MeanUs < static_cast<double>(left);/return cost >= 0 || left > 0;/"
     "learning nearly full targets~winchlink.h~s/double NearlyFullFactor = 1.4;/double NearlyFullFactor = 1.0;/;s/double NearlyFullFactorMax = 3.0;/double NearlyFullFactorMax = 1.0;/"
     "warm-up of new targets~winchlink.h~s/double ColdFactor = 2.0;/double ColdFactor = 1.0;/"
