--- a/tests/fuzz/fuzz_documents.cpp
+++ b/tests/fuzz/fuzz_documents.cpp
@@ -23,7 +23,7 @@
     const Winchlink::Result<Winchlink::StorePage> page = adapter.Dialect.ReadPage(text);
     if (page)
     {
-        (void)adapter.Read({page.value().Items, page.value().At, true, 0});
+        (void)adapter.Read({page.value().Items, page.value().Revision, true, 0});
     }
     return 0;
 }
--- a/tests/fuzz/fuzz_page.cpp
+++ b/tests/fuzz/fuzz_page.cpp
@@ -9,7 +9,7 @@
     if (page)
     {
         const Winchlink::Result<Winchlink::StorePage> again = Winchlink::DecodePage(Winchlink::EncodePage(page.value()));
-        if (!again || again.value().At != page.value().At || again.value().Items.size() != page.value().Items.size())
+        if (!again || again.value().Revision != page.value().Revision || again.value().Items.size() != page.value().Items.size())
         {
             __builtin_trap();
         }
--- a/tests/fuzz/fuzz_signals.cpp
+++ b/tests/fuzz/fuzz_signals.cpp
@@ -40,9 +40,9 @@
     quota.Config = Winchlink::TargetQuotaConfig();
     Winchlink::QuotaOnReport(&quota, "a", message.value().Report, false, now);
     Winchlink::QuotaOnAnswer(&quota, message.value().Answer, now);
-    for (const auto& [id, named] : quota.Named)
+    for (const auto& [id, named] : quota.Limits)
     {
-        Require(std::isfinite(named.PerS) && named.PerS >= 0 && named.HeardUs <= now);
+        Require(std::isfinite(named.PerS) && named.PerS >= 0 && named.ReceivedUs <= now);
     }
 }
 
