--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -111,7 +111,7 @@
     {
         follower->LastChangeUs = NowUs();
     };
-    follower->Reader.OnTrouble = [](const std::string&, TimeUs) {
+    follower->Reader.OnStoreFailed = [](const std::string&, TimeUs) {
     };
     follower->Reader.OnAnswered = [](bool) {
     };
--- a/bench/soak.h
+++ b/bench/soak.h
@@ -79,7 +79,7 @@
     pid_t Pid = -1;       // -1: not running.
     bool Ending = false;  // The soak has killed or stopped it.
     bool Leaving = false; // Gets no new requests from callers.
-    size_t Trouble = 0;   // Index in Log.Troubles of its open disruption plus one; 0: none.
+    size_t Trouble = 0;   // Index in Log.Disruptions of its open disruption plus one; 0: none.
     Timer Next;           // Pending restart, resume, reconnection, or kill after the grace time.
 };
 
@@ -114,8 +114,8 @@
     int LastTarget = 0;
     bool Striking = true;
     bool Calling = true;
-    size_t StoreDisruption = 0;           // Index in Log.Troubles of the store's open disruption plus one; 0: none.
-    std::map<std::string, size_t> Spoilt; // Ids of targets with an invalid entry, with the index in Log.Leavings.
+    size_t StoreDisruption = 0;           // Index in Log.Disruptions of the store's open disruption plus one; 0: none.
+    std::map<std::string, size_t> Spoilt; // Ids of targets with an invalid entry, with the index in Log.Drains.
     std::vector<Timer> Pauses;            // Timers started by Later().
     std::map<std::string, int> Drawn;     // Number of faults, by name.
 };
--- a/bench/soak_audit.cpp
+++ b/bench/soak_audit.cpp
@@ -25,7 +25,7 @@
         const bool overlaps = trouble.FromUs < until && trouble.UntilUs > from - bounds.UndisruptedUs;
         return concerns && overlaps && (planned_counts || !trouble.Planned);
     };
-    return std::none_of(log.Troubles.begin(), log.Troubles.end(), disrupts);
+    return std::none_of(log.Disruptions.begin(), log.Disruptions.end(), disrupts);
 }
 
 static std::map<std::string, std::vector<const SoakArrival*>> ByRequest(const SoakLog& log)
@@ -85,7 +85,7 @@
 
 static void CheckDrains(const SoakLog& log, const SoakBounds& bounds, Findings* found)
 {
-    for (const SoakDrain& leaving : log.Leavings)
+    for (const SoakDrain& leaving : log.Drains)
     {
         for (const SoakArrival& arrival : log.Arrivals)
         {
@@ -290,7 +290,7 @@
             const std::vector<TimeUs>& asked = firsts[entry.first];
             const int max = std::max({CountIn(asked, from, at + 1), CountIn(asked, from - bounds.WindowUs, from),
                                       CountIn(asked, from - bounds.WindowUs / 2, from + bounds.WindowUs / 2)});
-            if (CountIn(entry.second, from, at + 1) > bounds.RepeatShare * max + bounds.RepeatExtra * log.Instances)
+            if (CountIn(entry.second, from, at + 1) > bounds.RetryShareMax * max + bounds.RetryExtra * log.Instances)
             {
                 (*found)["more repeats than the budget"].push_back(entry.first);
                 break;
@@ -306,7 +306,7 @@
     std::map<std::string, TimeUs> quarantine_times;
     for (const SoakCrash& end : log.Ends)
     {
-        if (++crashes[end.Path] == bounds.EndsMost)
+        if (++crashes[end.Path] == bounds.QuarantineThreshold)
         {
             quarantine_times[end.Path] = end.AtUs;
         }
@@ -331,7 +331,7 @@
         {
             const bool late = arrival->AtUs > ended->second + bounds.UndisruptedUs;
             if (late && IsUndisrupted(log, bounds, arrival->Instance, ended->second, arrival->AtUs, true) &&
-                ++sent_later[request.Path] > bounds.EndsMost)
+                ++sent_later[request.Path] > bounds.QuarantineThreshold)
             {
                 (*found)["sent on though targets end under it"].push_back(request.Id);
             }
--- a/bench/soak_audit.h
+++ b/bench/soak_audit.h
@@ -106,9 +106,9 @@
 {
     std::vector<SoakRequest> Requests;
     std::vector<SoakArrival> Arrivals;
-    std::vector<SoakDisruption> Troubles;
+    std::vector<SoakDisruption> Disruptions;
     std::vector<SoakVersion> Versions; // In order of publication.
-    std::vector<SoakDrain> Leavings;   // Published in the store.
+    std::vector<SoakDrain> Drains;     // Published in the store.
     std::vector<SoakEvacuation> Evacuations;
     std::vector<SoakColdSpan> Colds;
     std::vector<SoakCrash> Ends; // In order of time.
@@ -139,9 +139,9 @@
     double LimitSlack = 5;                  // plus this number.
     size_t RetryAfterArrivalsMax = 2;       // Maximum arrivals from one instance within the Retry-After time of a refusal.
     TimeUs WindowUs = 10 * UsPerSecond;     // Window of the retry budget.
-    double RepeatShare = 0.2;               // Maximum share of retries in the first attempts of a window.
-    int RepeatExtra = 2;                    // Further retries per instance and service.
-    size_t EndsMost = 3;                    // Crashes until a path is quarantined; maximum arrivals later than UndisruptedUs after that.
+    double RetryShareMax = 0.2;             // Maximum share of retries in the first attempts of a window.
+    int RetryExtra = 2;                     // Further retries per instance and service.
+    size_t QuarantineThreshold = 3;         // Crashes until a path is quarantined; maximum arrivals later than UndisruptedUs after that.
     double RecoveryShare = 0.95;            // Minimum share of successes among the requests sent after all faults.
 };
 
--- a/bench/soak_ends.cpp
+++ b/bench/soak_ends.cpp
@@ -167,7 +167,7 @@
             ++spoilt;
             continue;
         }
-        soak->Log.Leavings[spoilt->second].UntilUs = NowUs();
+        soak->Log.Drains[spoilt->second].UntilUs = NowUs();
         spoilt = soak->Spoilt.erase(spoilt);
     }
 }
@@ -188,8 +188,8 @@
     {
         UsersStorePutForeign(&soak->Store, key, fmt::format(R"({{"privateKey":"{}","value":7}})", key));
     }
-    soak->Log.Leavings.push_back({id, NowUs()});
-    soak->Spoilt[id] = soak->Log.Leavings.size() - 1;
+    soak->Log.Drains.push_back({id, NowUs()});
+    soak->Spoilt[id] = soak->Log.Drains.size() - 1;
     Later(soak, DrawWithCrashesRng(soak, 200, 4000) * UsPerMs,
           [soak, target]()
           {
--- a/bench/soak_faults.cpp
+++ b/bench/soak_faults.cpp
@@ -151,7 +151,7 @@
     const std::string id = target->Part.Id;
     AddTarget(soak, target->Service);
     UsersStoreTarget(&soak->Store, id, target->Service, target->Before.Address, target->Zone, true);
-    soak->Log.Leavings.push_back({id, NowUs()});
+    soak->Log.Drains.push_back({id, NowUs()});
     target->Listed = false;
     target->Next = TimerStart(&soak->Loop, MsBetween(soak, 2500, 5000),
                               [soak, target]()
--- a/bench/soak_parts.cpp
+++ b/bench/soak_parts.cpp
@@ -38,15 +38,15 @@
 size_t BeginDisruption(Soak* soak, int instance, bool planned)
 {
     constexpr TimeUs open_end = std::numeric_limits<TimeUs>::max();
-    soak->Log.Troubles.push_back({instance, NowUs(), open_end, planned});
-    return soak->Log.Troubles.size();
+    soak->Log.Disruptions.push_back({instance, NowUs(), open_end, planned});
+    return soak->Log.Disruptions.size();
 }
 
 void EndDisruption(Soak* soak, size_t* index)
 {
     if (*index != 0)
     {
-        soak->Log.Troubles[*index - 1].UntilUs = NowUs();
+        soak->Log.Disruptions[*index - 1].UntilUs = NowUs();
         *index = 0;
     }
 }
--- a/gateway/gateway.cpp
+++ b/gateway/gateway.cpp
@@ -14,7 +14,7 @@
 #include "clock.h"
 #include "page_client.h"
 #include "pages.h"
-#include "store_news.h"
+#include "store_updates.h"
 
 #include <algorithm>
 #include <csignal>
@@ -40,7 +40,7 @@
     const GatewayTiming& timing = gateway->Timing;
     StoreReader& reader = gateway->Store;
     const TimeUs wait = settings.Peers.empty() ? timing.UnfollowedWaitUs : timing.StoreWaitUs;
-    reader.FromStore = {gateway->Platform.Dialect, wait, timing.StoreMarginUs, timing.StoreGatherUs, timing.StoreReadUs,
+    reader.FromStore = {gateway->Platform.Dialect, wait, timing.StoreMarginUs, timing.StoreBatchUs, timing.StoreReadUs,
                         timing.StoreConnectUs};
     FollowSetSources(&reader.Following, settings.PeerAddress, settings.StoreAddress, settings.Peers, &gateway->Rng);
     const RelayFollower own = {settings.PeerAddress, settings.DataCentre, reader.Following.Reads};
@@ -98,7 +98,7 @@
     {
         OnStoreChanges(gateway, items, at);
     };
-    store.OnTrouble = [gateway](const std::string& why, TimeUs tried)
+    store.OnStoreFailed = [gateway](const std::string& why, TimeUs tried)
     {
         OnStoreTrouble(gateway, why, tried);
     };
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -20,7 +20,7 @@
     TimeUs StoreWaitUs = 800 * UsPerMs;        // Long poll at the store; short enough that followers learn of its loss within 2 s.
     TimeUs UnfollowedWaitUs = 2 * UsPerSecond; // The same without peers: no instance follows this one, and longer polls mean fewer calls.
     TimeUs StoreMarginUs = 350 * UsPerMs;      // Added to the long poll of the store for the timeout of the call.
-    TimeUs StoreGatherUs = 300 * UsPerMs;      // Pause after changes from the store, so that several arrive in one call.
+    TimeUs StoreBatchUs = 300 * UsPerMs;       // Pause after changes from the store, so that several arrive in one call.
     TimeUs PeerWaitUs = 950 * UsPerMs;         // Long poll at a peer; slightly longer than the interval of its heartbeats.
     TimeUs PeerMarginUs = 250 * UsPerMs;       // Added to the long poll of a peer for the timeout of the call.
     TimeUs StoreReadUs = 1500 * UsPerMs;       // Timeout of reading a page of the store.
--- a/gateway/store_reader.cpp
+++ b/gateway/store_reader.cpp
@@ -96,7 +96,7 @@
     reader->CallsFailed++;
     if (AsksStore(*reader))
     {
-        reader->OnTrouble(why, 0);
+        reader->OnStoreFailed(why, 0);
     }
     FollowFailed(&reader->Following, late, NowUs(), reader->Rng);
     StartNextStep(reader);
@@ -157,7 +157,7 @@
     }
     else if (result == FollowResult_StoreLost)
     {
-        reader->OnTrouble("reported by " + step.Address, page.TriedUs);
+        reader->OnStoreFailed("reported by " + step.Address, page.TriedUs);
     }
     else
     {
--- a/gateway/store_news.cpp
+++ b/gateway/store_updates.cpp
@@ -1,4 +1,4 @@
-// store_news.cpp: applies items of the store: plan, targets, evacuations, and invalid items.
+// store_updates.cpp: applies items of the store: plan, targets, evacuations, and invalid items.
 //
 // Index of this file:
 // [SECTION] Plan
@@ -7,7 +7,7 @@
 // [SECTION] Invalid items
 // [SECTION] Batches
 
-#include "store_news.h"
+#include "store_updates.h"
 
 #include "clock.h"
 
--- a/gateway/store_news.h
+++ b/gateway/store_updates.h
@@ -1,4 +1,4 @@
-// store_news.h: applies items of the store: plan, targets, evacuations, and invalid items.
+// store_updates.h: applies items of the store: plan, targets, evacuations, and invalid items.
 
 #pragma once
 
--- a/gateway/target_signals.cpp
+++ b/gateway/target_signals.cpp
@@ -70,14 +70,14 @@
     return status == 429 || status == 503;
 }
 
-// Parses the number in a header; a malformed value is added to signals->Unreadable.
+// Parses the number in a header; a malformed value is added to signals->Invalid.
 static std::optional<double> ParseNumberHeader(const std::vector<Header>& headers, const std::string& name, TargetSignals* signals)
 {
     const std::string* text = name.empty() ? nullptr : FindHeader(headers, name);
     const std::optional<double> number = text != nullptr ? ParseNumber(*text) : std::nullopt;
     if (text != nullptr && !number)
     {
-        signals->Unreadable.push_back({name, *text});
+        signals->Invalid.push_back({name, *text});
     }
     return number;
 }
@@ -105,7 +105,7 @@
     }
     else if (retry != nullptr)
     {
-        signals.Unreadable.push_back({names.RetryAfter, *retry});
+        signals.Invalid.push_back({names.RetryAfter, *retry});
     }
     return signals;
 }
@@ -119,10 +119,10 @@
     counters->Limits += signals.LimitPerS ? 1 : 0;
     counters->Backoffs += signals.BackoffUs ? 1 : 0;
     counters->Draining += signals.Draining ? 1 : 0;
-    counters->Invalid += signals.Unreadable.size();
+    counters->Invalid += signals.Invalid.size();
 }
 
-static void LogUnreadable(const SignalSource& source, const std::vector<Header>& unreadable)
+static void LogInvalidSignals(const SignalSource& source, const std::vector<Header>& unreadable)
 {
     for (const Header& header : unreadable)
     {
@@ -143,7 +143,7 @@
                    {"backoffUs", signals.BackoffUs.value_or(-1)},
                    {"leaving", signals.Draining ? 1 : 0}});
     }
-    LogUnreadable(source, signals.Unreadable);
+    LogInvalidSignals(source, signals.Invalid);
 }
 
 // Only an answer to a request can remove a limit by not having one: health answers of some targets never contain it.
--- a/gateway/target_signals.h
+++ b/gateway/target_signals.h
@@ -16,7 +16,7 @@
     std::optional<TimeUs> BackoffUs; // Time for which this instance must send it nothing.
     std::optional<TimeUs> ColdUs;    // Remaining warm-up time.
     bool Draining = false;           // It takes no new requests.
-    std::vector<Header> Unreadable;  // Signal headers with malformed values, which are ignored.
+    std::vector<Header> Invalid;     // Signal headers with malformed values, which are ignored.
 };
 
 // Parses the signals of one answer. `now_s`: wall-clock time in seconds; used for a Retry-After date if the answer has no Date header.
--- a/tests/follow_load_test.cpp
+++ b/tests/follow_load_test.cpp
@@ -25,7 +25,7 @@
 constexpr TimeUs TransferUs = 20 * UsPerMs;   // Transfer of a full copy: 50 KB at 20 Mbit/s.
 constexpr TimeUs StoreWaitUs = 800 * UsPerMs; // This and the next four are equal to the values in GatewayTiming.
 constexpr TimeUs StoreMarginUs = 350 * UsPerMs;
-constexpr TimeUs StoreGatherUs = 300 * UsPerMs;
+constexpr TimeUs StoreBatchUs = 300 * UsPerMs;
 constexpr TimeUs PeerWaitUs = 950 * UsPerMs;
 constexpr TimeUs PeerMarginUs = 250 * UsPerMs;
 constexpr TimeUs FullReadHoldUs = 500 * UsPerMs; // Equal to the value in relay.cpp.
@@ -279,7 +279,7 @@
         }
         EndAskStoreWaits(model, instance);
     }
-    StartCall(model, instance, changed && from_store ? StoreGatherUs : 0);
+    StartCall(model, instance, changed && from_store ? StoreBatchUs : 0);
 }
 
 //-----------------------------------------------------------------------------
--- a/tests/returns_test.cpp
+++ b/tests/retry_schedule_test.cpp
@@ -1,4 +1,4 @@
-// returns_test.cpp: the schedule of retry times for refused callers.
+// retry_schedule_test.cpp: the schedule of retry times for refused callers.
 //
 // Guards against callers that all retry at the same moment, or that wait too long after a short overload.
 
@@ -41,9 +41,9 @@
     return max;
 }
 
-class ReturnsTest : public CPPUNIT_NS::TestFixture
+class RetryScheduleTest : public CPPUNIT_NS::TestFixture
 {
-    CPPUNIT_TEST_SUITE(ReturnsTest);
+    CPPUNIT_TEST_SUITE(RetryScheduleTest);
     CPPUNIT_TEST(OneRefusedCallerReturnsSoon);
     CPPUNIT_TEST(AStartIsNotTakenForAnOverload);
     CPPUNIT_TEST(ALongOverloadKeepsCallersAwayLonger);
@@ -154,6 +154,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(ReturnsTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(RetryScheduleTest);
 
 } // namespace Winchlink
--- a/tests/silent_ends_test.cpp
+++ b/tests/silent_crashes_test.cpp
@@ -1,4 +1,4 @@
-// silent_ends_test.cpp: requests that crash targets whose connections stay open.
+// silent_crashes_test.cpp: requests that crash targets whose connections stay open.
 //
 // Guards against such a request that is never quarantined. To the instance its attempts look like those behind a partition; the crash is
 // known only later, from the store or from the next target at the same address.
@@ -81,9 +81,9 @@
 
 static constexpr int ShortMs = 200; // Deadline of a caller.
 
-class SilentEndsTest : public CPPUNIT_NS::TestFixture
+class SilentCrashesTest : public CPPUNIT_NS::TestFixture
 {
-    CPPUNIT_TEST_SUITE(SilentEndsTest);
+    CPPUNIT_TEST_SUITE(SilentCrashesTest);
     CPPUNIT_TEST(ARequestThatSilencesTargetsIsQuarantined);
     CPPUNIT_TEST(AnAttemptInFlightCountsWhenItEnds);
     CPPUNIT_TEST(AnAttemptOfACallerThatLeftCounts);
@@ -223,6 +223,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(SilentEndsTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(SilentCrashesTest);
 
 } // namespace Winchlink
--- a/tests/soak_audit_test.cpp
+++ b/tests/soak_audit_test.cpp
@@ -130,23 +130,23 @@
         SoakLog log = CleanLog();
         log.Requests[0].Status = 0;
         CheckFinds(log, "cut without an answer");
-        log.Troubles = {{0, Start - UsPerSecond, Start + UsPerSecond, true}}; // A planned stop is no disruption.
+        log.Disruptions = {{0, Start - UsPerSecond, Start + UsPerSecond, true}}; // A planned stop is no disruption.
         CheckFinds(log, "cut without an answer");
-        log.Troubles[0].Planned = false;
+        log.Disruptions[0].Planned = false;
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty());
-        log.Troubles[0].Instance = 1; // Another instance was affected.
+        log.Disruptions[0].Instance = 1; // Another instance was affected.
         CheckFinds(log, "cut without an answer");
     }
 
     void RequestsToDrainingTargets()
     {
         SoakLog log = CleanLog();
-        log.Leavings = {{"t1", Start - 3 * UsPerSecond}};
+        log.Drains = {{"t1", Start - 3 * UsPerSecond}};
         CheckFinds(log, "sent to a target that leaves");
-        log.Leavings[0].AtUs = Start - UsPerSecond;
+        log.Drains[0].AtUs = Start - UsPerSecond;
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty());
-        log.Leavings[0].AtUs = Start - 3 * UsPerSecond;
-        log.Troubles = {{-1, Start - 4 * UsPerSecond, Start - 2 * UsPerSecond, false}}; // The store was unavailable.
+        log.Drains[0].AtUs = Start - 3 * UsPerSecond;
+        log.Disruptions = {{-1, Start - 4 * UsPerSecond, Start - 2 * UsPerSecond, false}}; // The store was unavailable.
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty());
     }
 
@@ -156,9 +156,9 @@
         log.Arrivals[0].DataCentre = "dc";
         log.Evacuations = {{"dc", Start - 3 * UsPerSecond, Start + UsPerSecond}};
         CheckFinds(log, "sent to an evacuated data centre");
-        log.Troubles = {{0, Start - 4 * UsPerSecond, Start - 3 * UsPerSecond, false}};
+        log.Disruptions = {{0, Start - 4 * UsPerSecond, Start - 3 * UsPerSecond, false}};
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty()); // The instance was cut off.
-        log.Troubles.clear();
+        log.Disruptions.clear();
         log.Evacuations[0].UntilUs = Start; // Ended before the request.
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty());
         log.Evacuations = {{"dc", Start - UsPerSecond, Start + UsPerSecond}}; // Not in force yet.
@@ -203,9 +203,9 @@
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty()); // 17 requests, the bound, besides the one that got the limit.
         AddRefused(&log, Start + 3 * UsPerSecond);
         CheckFinds(log, "more requests than a target takes");
-        log.Troubles = {{0, Start, Start + UsPerMs, false}};
+        log.Disruptions = {{0, Start, Start + UsPerMs, false}};
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty());
-        log.Troubles.clear();
+        log.Disruptions.clear();
         log.Limits[0].FromUs = Start + UsPerSecond; // The limit takes effect later.
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty());
     }
@@ -236,7 +236,7 @@
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty());
         AddRefused(&log, Start + 3 * UsPerSecond);
         CheckFinds(log, "sent to a target that has said that it leaves");
-        log.Troubles = {{0, Start, Start + UsPerSecond, false}};
+        log.Disruptions = {{0, Start, Start + UsPerSecond, false}};
         CPPUNIT_ASSERT(AuditSoak(log, SoakBounds()).empty());
     }
 
--- a/tests/target_lives_test.cpp
+++ b/tests/target_incarnation_test.cpp
@@ -1,5 +1,5 @@
-// target_lives_test.cpp: targets that restart under the same id. Guards against state of the previous incarnation (failures, warm-up, load,
-// requests in flight) that is applied to the new one.
+// target_incarnation_test.cpp: targets that restart under the same id. Guards against state of the previous incarnation (failures, warm-up,
+// load, requests in flight) that is applied to the new one.
 
 #include "clock.h"
 #include "gateway_rig.h"
@@ -47,9 +47,9 @@
     }
 };
 
-class TargetLivesTest : public CPPUNIT_NS::TestFixture
+class TargetIncarnationTest : public CPPUNIT_NS::TestFixture
 {
-    CPPUNIT_TEST_SUITE(TargetLivesTest);
+    CPPUNIT_TEST_SUITE(TargetIncarnationTest);
     CPPUNIT_TEST(ARestartResetsTheTargetsState);
     CPPUNIT_TEST(ARestartWithAnEarlierClockIsAccepted);
     CPPUNIT_TEST(ADrainingTargetReturnsOnlyByARestart);
@@ -258,6 +258,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(TargetLivesTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(TargetIncarnationTest);
 
 } // namespace Winchlink
